--- a/internal/block/attempts_test.go
+++ b/internal/block/attempts_test.go
@@ -21,7 +21,7 @@
 	h.Types = func() map[string]api.MachineType {
 		return map[string]api.MachineType{"t": {Name: "t", CPUs: 64, MemoryGB: 64, FetchGBPerS: 1}}
 	}
-	h.Kept = func() capacity.KeptKinds { return capacity.KeptKinds{} }
+	h.Kept = func() capacity.GangKinds { return capacity.GangKinds{} }
 	h.machines = map[core.MachineID]*machine{}
 	for i := range machines {
 		id := core.MachineID(fmt.Sprintf("n-%d", i+1))
@@ -29,7 +29,7 @@
 	}
 	id := core.JobID(spec.ID)
 	j := &job{
-		id: id, spec: &spec, need: placement.Need{CPUs: spec.CPUs, MemoryGB: spec.MemoryGB},
+		id: id, spec: &spec, need: placement.Resources{CPUs: spec.CPUs, MemoryGB: spec.MemoryGB},
 		avoid: map[core.MachineID]core.Time{}, failed: map[core.MachineID]bool{},
 	}
 	h.jobs[id] = j
--- a/internal/block/candidates.go
+++ b/internal/block/candidates.go
@@ -17,7 +17,7 @@
 func (h *Holder) deferArrays(jobs []*placement.Job, machines []*placement.Machine, teams map[string]*placement.Team) {
 	free := 0.0
 	for _, m := range machines {
-		if !m.Kept && !m.Asked {
+		if !m.GangReserved && !m.Draining {
 			free += m.Free().CPUs
 		}
 	}
@@ -25,7 +25,7 @@
 	listed := map[core.JobID]bool{}
 	for _, j := range jobs {
 		listed[j.ID] = true
-		if len(j.Timing.Due) > 0 && j.Late == 0 {
+		if len(j.Timing.Due) > 0 && j.MissedDueTimes == 0 {
 			timed[j.Team] = append(timed[j.Team], j)
 		}
 	}
@@ -50,13 +50,13 @@
 
 // keptNow lists the kinds of machine that arrays must leave alone: those always
 // kept for gangs, and those that a gang waits for now.
-func (h *Holder) keptNow(jobs []*placement.Job, types map[string]api.MachineType) capacity.KeptKinds {
+func (h *Holder) keptNow(jobs []*placement.Job, types map[string]api.MachineType) capacity.GangKinds {
 	kept := h.Kept()
 	for _, j := range jobs {
-		if !j.Gang || j.Probe {
+		if !j.Gang || j.Failing {
 			continue
 		}
-		for _, name := range capacity.Scarce(j, types) {
+		for _, name := range capacity.RestrictedTypes(j, types) {
 			kept.Add(name, j)
 		}
 	}
@@ -69,7 +69,7 @@
 	zones := h.zones()
 	wall := h.Loop.Wall()
 	for _, j := range h.readyJobs() {
-		guaranteed := guarantees.Within(j.spec.Team, j.need.CPUs*float64(j.spec.Tasks-j.done.Len()))
+		guaranteed := guarantees.AddJob(j.spec.Team, j.need.CPUs*float64(j.spec.Tasks-j.done.Len()))
 		j.noteWait(now, time.Duration(wall-j.at)*time.Millisecond)
 		if j.holdoff > now {
 			h.dirty = true
@@ -79,7 +79,7 @@
 			continue
 		}
 		candidate := h.candidate(j, now, wall, guaranteed)
-		candidate.Zones = zones[j.id]
+		candidate.TasksByZone = zones[j.id]
 		if candidate.Waiting > 0 {
 			out = append(out, candidate)
 		}
@@ -100,16 +100,16 @@
 
 // candidate describes a job with waiting tasks for the placement.
 func (h *Holder) candidate(j *job, now core.Time, wall core.Wall, guaranteed bool) *placement.Job {
-	p := placement.JobOf(j.id, j.at, j.spec)
+	p := placement.NewJob(j.id, j.at, j.spec)
 	p.Rank, p.Waiting, p.Guaranteed = j.rank, j.waiting(), guaranteed
-	p.Avoid = h.avoided(j, now)
-	if capacity.Late(h.Config.Aims, j.spec, j.sent, j.at, wall) {
-		p.Late = len(h.Config.Aims)
+	p.ExcludedMachines = h.avoided(j, now)
+	if capacity.MissesObjectives(h.Config.Aims, j.spec, j.sent, j.at, wall) {
+		p.MissedDueTimes = len(h.Config.Aims)
 	}
-	p.Timed = guaranteed || j.due > 0 || capacity.Timed(h.Config.Aims, j.spec)
-	p.Timing = placement.Timing{Due: capacity.Due(h.Config.Aims, j.spec, j.sent, j.at, j.due), Work: j.work()}
+	p.TimeSensitive = guaranteed || j.due > 0 || capacity.TimeSensitive(h.Config.Aims, j.spec)
+	p.Timing = placement.Timing{Due: capacity.DueTimes(h.Config.Aims, j.spec, j.sent, j.at, j.due), Work: j.work()}
 	p.Starvation = j.starvation(now)
-	p.Probe = j.probing()
+	p.Failing = j.probing()
 	if p.Overdue = capacity.Overdue(j.at, wall, j.begun()); p.Overdue {
 		// It begins before all else, whatever its rank, but with one task if it
 		// can: the rest waits as its rank says. Low ranks that came while others
@@ -122,7 +122,7 @@
 	if p.Starvation != placement.NotStarving || p.Overdue {
 		p.Waiting = 1
 	}
-	if p.Probe {
+	if p.Failing {
 		p.Waiting = min(p.Waiting, 1-j.live())
 	}
 	return &p
--- a/internal/block/dependency_test.go
+++ b/internal/block/dependency_test.go
@@ -65,7 +65,7 @@
 	}
 	return New(Env{
 		Loop: loop, Log: log, Config: cfg, Host: cfg.Host, Mirror: mirror, State: client, Workers: worker.NewClient(loop),
-		Types: func() map[string]api.MachineType { return nil }, Kept: func() capacity.KeptKinds { return capacity.KeptKinds{} },
+		Types: func() map[string]api.MachineType { return nil }, Kept: func() capacity.GangKinds { return capacity.GangKinds{} },
 	}, &record)
 }
 
@@ -113,7 +113,7 @@
 			t.Fatalf("ended at %d: %+v", tc.ended, j)
 		}
 		candidates := h.candidates(0)
-		if len(candidates) != 1 || candidates[0].At != tc.ready || candidates[0].Timing.Due[0] != 31_000 {
+		if len(candidates) != 1 || candidates[0].ReadyAt != tc.ready || candidates[0].Timing.Due[0] != 31_000 {
 			t.Errorf("ended at %d: %+v", tc.ended, candidates)
 		}
 	}
--- a/internal/block/follow.go
+++ b/internal/block/follow.go
@@ -142,7 +142,7 @@
 		blocked:   true,
 		spec:      e.Spec,
 		rank:      placement.Rank(e.Spec.Rank),
-		need:      placement.Need{CPUs: e.CPUs, GPUs: e.GPUs, MemoryGB: e.MemoryGB},
+		need:      placement.Resources{CPUs: e.CPUs, GPUs: e.GPUs, MemoryGB: e.MemoryGB},
 		avoid:     map[core.MachineID]core.Time{},
 		failed:    map[core.MachineID]bool{},
 		inherited: h.state == recovering,
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -27,7 +27,7 @@
 	State   *state.Client
 	Workers *worker.Client
 	Types   func() map[string]api.MachineType
-	Kept    func() capacity.KeptKinds
+	Kept    func() capacity.GangKinds
 	Policy  placement.Policy
 	Metrics *metrics.Metrics
 }
--- a/internal/block/holder_test.go
+++ b/internal/block/holder_test.go
@@ -352,9 +352,9 @@
 func TestMachineIsNotHeldForATeamAtItsLimit(t *testing.T) {
 	h, m := testHolder()
 	h.Config.Operator.Idle = 20 * time.Second
-	m.total, m.idle = placement.Need{CPUs: 8, MemoryGB: 8}, 1
+	m.total, m.idle = placement.Resources{CPUs: 8, MemoryGB: 8}, 1
 	now := core.Time(5 * time.Second)
-	h.jobs["req-1"] = &job{id: "req-1", spec: &api.Job{Form: api.FormArray, Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1}, need: placement.Need{CPUs: 1, MemoryGB: 1}}
+	h.jobs["req-1"] = &job{id: "req-1", spec: &api.Job{Form: api.FormArray, Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1}, need: placement.Resources{CPUs: 1, MemoryGB: 1}}
 	if h.releasable(m, now) {
 		t.Error("released before the first pass, though a job waits")
 	}
@@ -363,8 +363,8 @@
 		used     float64
 		released bool
 	}{{api.FormArray, 0, false}, {api.FormArray, 99, false}, {api.FormArray, 99.5, true}, {api.FormGang, 97, false}, {api.FormGang, 98, true}} {
-		h.jobs["req-1"] = &job{id: "req-1", spec: &api.Job{Form: tc.form, Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1}, need: placement.Need{CPUs: 1, MemoryGB: 1}}
-		h.teams = map[string]*placement.Team{"red": {Used: placement.Need{CPUs: tc.used}, Max: placement.Need{CPUs: 100}}}
+		h.jobs["req-1"] = &job{id: "req-1", spec: &api.Job{Form: tc.form, Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1}, need: placement.Resources{CPUs: 1, MemoryGB: 1}}
+		h.teams = map[string]*placement.Team{"red": {Used: placement.Resources{CPUs: tc.used}, Quota: placement.Resources{CPUs: 100}}}
 		if got := h.releasable(m, now); got != tc.released {
 			t.Errorf("%s, %v of 100 CPUs used: released %v", tc.form, tc.used, got)
 		}
--- a/internal/block/job.go
+++ b/internal/block/job.go
@@ -19,7 +19,7 @@
 	spec    *api.Job
 	rank    int
 	seen    bool // a task of it has been seen on a machine
-	need    placement.Need
+	need    placement.Resources
 	done    core.Set // known done, durable or not
 	pending core.Set // done, not yet durable
 	// attempts is all that is known of where its tasks may be.
--- a/internal/block/machine.go
+++ b/internal/block/machine.go
@@ -31,7 +31,7 @@
 	typ   string
 	zone  string
 	spot  bool
-	total placement.Need
+	total placement.Resources
 	up    bool // durable
 	asked bool
 	lost  bool
@@ -76,11 +76,11 @@
 // nothing to do learns of a start at once, instead of with its next report.
 type held struct{ done func(api.ReportAnswer, bool) }
 
-func (m *machine) booked() placement.Need {
-	var n placement.Need
+func (m *machine) booked() placement.Resources {
+	var n placement.Resources
 	for _, s := range m.slots {
 		if s.booked() {
-			n = n.Plus(s.need)
+			n = n.Add(s.need)
 		}
 	}
 	return n
--- a/internal/block/pass.go
+++ b/internal/block/pass.go
@@ -55,15 +55,15 @@
 	machines := h.machinesNow(now, kept)
 	h.deferArrays(jobs, machines, h.teams)
 	for _, j := range jobs {
-		j.NoChoice = capacity.NoChoice(j, types, kept)
+		j.GangMachinesOnly = capacity.GangMachinesOnly(j, types, kept)
 	}
-	result := placement.Pass(now, machines, jobs, h.teams, h.Policy)
+	result := placement.Schedule(now, machines, jobs, h.teams, h.Policy)
 	h.preempt(now, jobs, machines, h.teams)
 	for _, start := range result.Starts {
 		h.plan(h.jobs[start.Job], h.machines[start.Machine])
 	}
-	if result.Reserved != "" {
-		h.Log.Debug("oldest waiting job holds a reservation", "job", result.Reserved, "in", result.ReservedAt.Sub(now).String())
+	if result.ReservedJob != "" {
+		h.Log.Debug("oldest waiting job holds a reservation", "job", result.ReservedJob, "in", result.ReservedAt.Sub(now).String())
 	}
 	h.requestUp()
 	h.flushReady()
@@ -73,7 +73,7 @@
 func (h *Holder) noteRoom(types map[string]api.MachineType) {
 	for _, m := range h.machines {
 		if t, ok := types[m.typ]; ok {
-			m.total = placement.Room(t)
+			m.total = placement.CapacityOf(t)
 		}
 	}
 }
@@ -83,12 +83,12 @@
 func (h *Holder) teamsNow() map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for _, t := range h.Mirror.Teams(h.Config.Teams) {
-		teams[t.Name] = &placement.Team{Max: placement.Need{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}
+		teams[t.Name] = &placement.Team{Quota: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}
 	}
 	for _, id := range core.Keys(h.machines) {
 		for _, s := range h.machines[id].list() {
 			if team := teams[s.team]; team != nil && s.booked() {
-				team.Used = team.Used.Plus(s.need)
+				team.Used = team.Used.Add(s.need)
 			}
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // machinesNow describes the machines on which something can be started.
-func (h *Holder) machinesNow(now core.Time, kept capacity.KeptKinds) (out []*placement.Machine) {
+func (h *Holder) machinesNow(now core.Time, kept capacity.GangKinds) (out []*placement.Machine) {
 	for _, id := range core.Keys(h.machines) {
 		if m := h.machines[id]; h.usable(m) {
 			out = append(out, h.describe(m, now, kept))
@@ -106,23 +106,23 @@
 }
 
 // describe describes a machine for the placement.
-func (h *Holder) describe(m *machine, now core.Time, kept capacity.KeptKinds) *placement.Machine {
+func (h *Holder) describe(m *machine, now core.Time, kept capacity.GangKinds) *placement.Machine {
 	p := &placement.Machine{
 		ID: m.id, Type: m.typ, Zone: m.zone, Spot: m.spot, Total: m.total, Booked: m.booked(), Images: m.images,
-		Unreliable: m.unreliable > now, Asked: m.asked, Tasks: len(m.slots), MaxTasks: placement.MaxTasks,
+		Unreliable: m.unreliable > now, Draining: m.asked, Tasks: len(m.slots), MaxTasks: placement.MaxTasks,
 	}
 	m.room.note(now, p.Free())
-	p.LastingRoom = m.room.least()
-	p.KeptFor, p.Kept = kept[capacity.Kind{Type: m.typ, Spot: m.spot}]
+	p.RecentMinFree = m.room.least()
+	p.GangTaskSize, p.GangReserved = kept[capacity.MachineKind{Type: m.typ, Spot: m.spot}]
 	for _, s := range m.slots {
 		if !s.booked() {
 			continue
 		}
 		ends := h.ends(s, now)
-		p.Releases = append(p.Releases, placement.Release{At: ends, Need: s.need})
+		p.Releases = append(p.Releases, placement.Release{At: ends, Resources: s.need})
 		p.BusyFor = max(p.BusyFor, ends.Sub(now))
 		if j := h.jobs[s.task.Job]; j == nil || !j.gang() {
-			p.ByArrays = p.ByArrays.Plus(s.need)
+			p.BookedByArrays = p.BookedByArrays.Add(s.need)
 		}
 	}
 	return p
--- a/internal/block/preempt.go
+++ b/internal/block/preempt.go
@@ -45,13 +45,13 @@
 	if !ok {
 		return
 	}
-	p := &preemption{h: h, now: now, machines: machines, room: map[core.MachineID]placement.Need{}}
+	p := &preemption{h: h, now: now, machines: machines, room: map[core.MachineID]placement.Resources{}}
 	for _, m := range machines {
 		p.room[m.ID] = p.freeSoon(m)
 	}
 	for _, j := range jobs {
 		n := h.wanted(j, teams[j.Team])
-		if n <= 0 || j.Probe || j.Rank <= lowest || p.stops >= maxStops {
+		if n <= 0 || j.Failing || j.Rank <= lowest || p.stops >= maxStops {
 			continue
 		}
 		p.makeRoom(j, n)
@@ -76,7 +76,7 @@
 	now      core.Time
 	machines []*placement.Machine
 	// room is what is free on each machine once those that are told to stop have gone.
-	room  map[core.MachineID]placement.Need
+	room  map[core.MachineID]placement.Resources
 	stops int
 }
 
@@ -88,11 +88,11 @@
 
 // freeSoon is what is free on a machine, or will be once those that are told to stop have
 // gone.
-func (p *preemption) freeSoon(m *placement.Machine) placement.Need {
+func (p *preemption) freeSoon(m *placement.Machine) placement.Resources {
 	free := m.Free()
 	for _, s := range p.h.machines[m.ID].slots {
 		if s.booked() && s.stop != "" {
-			free = free.Plus(s.need)
+			free = free.Add(s.need)
 		}
 	}
 	return free
@@ -100,17 +100,17 @@
 
 // makeRoom stops what it takes to start n tasks of a job; for a gang all or nothing.
 func (p *preemption) makeRoom(j *placement.Job, n int) {
-	zones := maps.Clone(j.Zones)
+	zones := maps.Clone(j.TasksByZone)
 	if zones == nil {
 		zones = map[string]int{}
 	}
 	var evictions []eviction
-	left := map[core.MachineID]placement.Need{}
+	left := map[core.MachineID]placement.Resources{}
 	for _, m := range p.machines {
 		if len(evictions) >= n {
 			break
 		}
-		if m.Asked || m.Kept && !j.Gang && !j.NoChoice || j.Avoid[m.ID] || !j.Allows(m.Type, m.Zone, m.Spot) {
+		if m.Draining || m.GangReserved && !j.Gang && !j.GangMachinesOnly || j.ExcludedMachines[m.ID] || !j.Allows(m.Type, m.Zone, m.Spot) {
 			continue
 		}
 		found, free := p.evictions(j, m, zones, n-len(evictions))
@@ -133,7 +133,7 @@
 
 // evictions finds what has to be stopped on a machine for up to n tasks of a job, and what
 // is free there afterwards. It counts the tasks in their zones.
-func (p *preemption) evictions(j *placement.Job, m *placement.Machine, zones map[string]int, n int) (found []eviction, free placement.Need) {
+func (p *preemption) evictions(j *placement.Job, m *placement.Machine, zones map[string]int, n int) (found []eviction, free placement.Resources) {
 	free = p.room[m.ID]
 	var victims []*slot
 	for _, s := range p.h.machines[m.ID].list() {
@@ -143,17 +143,17 @@
 	}
 	// The least is lost with those that have run least since they began.
 	slices.SortStableFunc(victims, func(a, b *slot) int { return cmp.Compare(b.since, a.since) })
-	for len(found) < n && j.ZoneAllows(m.Zone, zones) {
+	for len(found) < n && j.AllowsZone(m.Zone, zones) {
 		stops, have := 0, free
 		for !j.Need.Fits(have) && stops < len(victims) {
-			have = have.Plus(victims[stops].need)
+			have = have.Add(victims[stops].need)
 			stops++
 		}
 		if !j.Need.Fits(have) {
 			break
 		}
 		found = append(found, eviction{m.ID, victims[:stops]})
-		victims, free = victims[stops:], have.Minus(j.Need)
+		victims, free = victims[stops:], have.Sub(j.Need)
 		zones[m.Zone]++
 	}
 	return found, free
@@ -164,21 +164,21 @@
 // team is next. Tasks were stopped for one that could not start, again and again.
 func (h *Holder) wanted(j *placement.Job, t *placement.Team) int {
 	n := j.Waiting
-	if t == nil || n <= 0 || t.Holds(j) {
+	if t == nil || n <= 0 || t.WithholdsFrom(j) {
 		return 0
 	}
 	if own := h.jobs[j.ID]; !j.Gang && !j.Guaranteed && len(j.Timing.Due) > 0 {
 		live := own.live()
-		n = min(n, capacity.Pace(own.spec.Tasks-own.done.Len(), j.Estimate, time.Duration(j.Timing.Due[0]-h.Loop.Wall())*time.Millisecond)-live)
+		n = min(n, capacity.Concurrency(own.spec.Tasks-own.done.Len(), j.Estimate, time.Duration(j.Timing.Due[0]-h.Loop.Wall())*time.Millisecond)-live)
 	}
-	room := t.Max.Minus(t.Used)
+	room := t.Quota.Sub(t.Used)
 	if j.Gang {
-		if !j.Need.Times(float64(n)).FitsCounts(room) {
+		if !j.Need.Scale(float64(n)).FitsQuota(room) {
 			return 0
 		}
 		return n
 	}
-	for n > 0 && !j.Need.Times(float64(n)).FitsCounts(room) {
+	for n > 0 && !j.Need.Scale(float64(n)).FitsQuota(room) {
 		n = min(n-1, int(room.CPUs/max(j.Need.CPUs, 1e-9)))
 	}
 	return n
@@ -191,7 +191,7 @@
 		return
 	}
 	for _, s := range m.list() {
-		if j := h.jobs[s.task.Job]; h.yields(s, placement.Rank(api.RankStandard), now) && !capacity.Timed(h.Config.Aims, j.spec) {
+		if j := h.jobs[s.task.Job]; h.yields(s, placement.Rank(api.RankStandard), now) && !capacity.TimeSensitive(h.Config.Aims, j.spec) {
 			h.Log.Info("task is stopped, its machine is asked back", "task", s.task.String(), "attempt", s.attempt, "machine", m.id)
 			h.end(s, stopMachineDue)
 		}
--- a/internal/block/reports.go
+++ b/internal/block/reports.go
@@ -192,7 +192,7 @@
 	now := h.Loop.Now()
 	s := &slot{slotKey: key, machine: m, state: present, ends: now}
 	if e := h.Mirror.Jobs[key.task.Job]; e != nil {
-		s.team, s.need = e.Team, placement.Need{CPUs: e.CPUs, GPUs: e.GPUs, MemoryGB: e.MemoryGB}
+		s.team, s.need = e.Team, placement.Resources{CPUs: e.CPUs, GPUs: e.GPUs, MemoryGB: e.MemoryGB}
 	}
 	if j != nil {
 		s.ends = now.Add(h.expected(s, m))
--- a/internal/block/room.go
+++ b/internal/block/room.go
@@ -18,11 +18,11 @@
 type lastingRoom struct {
 	known             bool
 	since             core.Time // when the current half began
-	previous, current placement.Need
+	previous, current placement.Resources
 }
 
 // note takes in what is free now.
-func (r *lastingRoom) note(now core.Time, free placement.Need) {
+func (r *lastingRoom) note(now core.Time, free placement.Resources) {
 	if !r.known {
 		*r = lastingRoom{known: true, since: now, previous: free, current: free}
 		return
@@ -30,8 +30,8 @@
 	if now.Sub(r.since) >= roomWindow/2 {
 		r.previous, r.current, r.since = r.current, free, now
 	}
-	r.current = r.current.Least(free)
+	r.current = r.current.Min(free)
 }
 
 // least is what has been free all the time.
-func (r *lastingRoom) least() placement.Need { return r.previous.Least(r.current) }
+func (r *lastingRoom) least() placement.Resources { return r.previous.Min(r.current) }
--- a/internal/block/slot.go
+++ b/internal/block/slot.go
@@ -32,7 +32,7 @@
 	state   slotState
 	machine *machine
 	team    string
-	need    placement.Need
+	need    placement.Resources
 	view    string // state as reported
 	cause   string
 
--- a/internal/block/write.go
+++ b/internal/block/write.go
@@ -163,11 +163,11 @@
 		tasks = j.spec.Tasks
 	}
 	team := h.teams[j.spec.Team]
-	return team != nil && team.Allows(j.need.Times(float64(tasks)))
+	return team != nil && team.Allows(j.need.Scale(float64(tasks)))
 }
 
 func (h *Holder) allows(j *job, m *machine) bool {
-	p := placement.JobOf(j.id, j.at, j.spec)
+	p := placement.NewJob(j.id, j.at, j.spec)
 	return p.Allows(m.typ, m.zone, m.spot) && j.need.Fits(m.total)
 }
 
@@ -184,7 +184,7 @@
 		return now.Sub(max(m.heard, m.joined)) > 3*w.Lease
 	case booting:
 		t, ok := h.Types()[m.typ]
-		return ok && now.Sub(m.joined) > capacity.GiveUp(core.Seconds(t.BootS))
+		return ok && now.Sub(m.joined) > capacity.BootTimeout(core.Seconds(t.BootS))
 	}
 	return false
 }
--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -7,9 +7,9 @@
 	"lichenstair/internal/core"
 )
 
-// Boots remembers how long machines took to come up lately, against what the cloud
+// BootTimes remembers how long machines took to come up lately, against what the cloud
 // calls usual for their type, and judges by that those that have not come up yet.
-type Boots struct {
+type BootTimes struct {
 	done map[string][]boot
 }
 
@@ -18,8 +18,8 @@
 	ratio float64 // of the usual time
 }
 
-// Pending is a machine that has not come up yet.
-type Pending struct {
+// PendingMachine is a machine that has not come up yet.
+type PendingMachine struct {
 	Offer
 	Age time.Duration
 }
@@ -38,8 +38,8 @@
 	maxDoubtful = 6
 )
 
-// Came notes that a machine of a type has come up.
-func (b *Boots) Came(now core.Time, typ string, took, usual time.Duration) {
+// Record notes that a machine of a type has come up.
+func (b *BootTimes) Record(now core.Time, typ string, took, usual time.Duration) {
 	if usual <= 0 || took < 0 {
 		return
 	}
@@ -51,7 +51,7 @@
 }
 
 // mean is the ratio of those that came up, with what the cloud says as a start.
-func (b *Boots) mean(now core.Time, typ string) (sum, weight float64) {
+func (b *BootTimes) mean(now core.Time, typ string) (sum, weight float64) {
 	sum, weight = 1, 1
 	for _, d := range b.done[typ] {
 		w := 2 * math.Exp(-now.Sub(d.at).Seconds()/bootsFade.Seconds())
@@ -60,30 +60,30 @@
 	return sum, weight
 }
 
-// Doubtful tells whether a machine is so late that nothing should count on it.
-func (b *Boots) Doubtful(now core.Time, p Pending, usual time.Duration) bool {
+// Overdue tells whether a machine is so late that nothing should count on it.
+func (b *BootTimes) Overdue(now core.Time, p PendingMachine, usual time.Duration) bool {
 	sum, weight := b.mean(now, p.Type)
 	return p.Age > time.Duration(doubtAfter*max(sum/weight, 1)*float64(usual))+doubtMore
 }
 
-// Hopeless tells whether a machine can hardly come any more. Several times the usual
+// TimedOut tells whether a machine can hardly come any more. Several times the usual
 // time happens, and what was rented costs a minute at least.
-func (b *Boots) Hopeless(now core.Time, p Pending, usual time.Duration) bool {
+func (b *BootTimes) TimedOut(now core.Time, p PendingMachine, usual time.Duration) bool {
 	sum, weight := b.mean(now, p.Type)
-	return p.Age > GiveUp(time.Duration(max(sum/weight, 1)*float64(usual)))
+	return p.Age > BootTimeout(time.Duration(max(sum/weight, 1)*float64(usual)))
 }
 
-// GiveUp is how old a machine that has not come up becomes before it is given back,
+// BootTimeout is how old a machine that has not come up becomes before it is given back,
 // where a boot takes so long.
-func GiveUp(usual time.Duration) time.Duration { return 4*usual + 30*time.Second }
+func BootTimeout(usual time.Duration) time.Duration { return 4*usual + 30*time.Second }
 
-// Troubled lists the kinds of machine of which so many are overdue that no more
+// StalledOffers lists the kinds of machine of which so many are overdue that no more
 // should be rented: they would be paid for and come up all at once, if ever.
-func (b *Boots) Troubled(now core.Time, waiting []Pending, usual func(string) time.Duration) map[Offer]bool {
+func (b *BootTimes) StalledOffers(now core.Time, waiting []PendingMachine, usual func(string) time.Duration) map[Offer]bool {
 	count := map[Offer]int{}
 	out := map[Offer]bool{}
 	for _, p := range waiting {
-		if b.Doubtful(now, p, usual(p.Type)) {
+		if b.Overdue(now, p, usual(p.Type)) {
 			if count[p.Offer]++; count[p.Offer] >= maxDoubtful {
 				out[p.Offer] = true
 			}
--- a/internal/capacity/boots_test.go
+++ b/internal/capacity/boots_test.go
@@ -11,25 +11,25 @@
 func TestBootsAreLearnt(t *testing.T) {
 	const usual = 30 * time.Second
 	at := func(s float64) core.Time { return core.Time(s * float64(time.Second)) }
-	var b Boots
-	late := Pending{Offer{Type: "small", Zone: "a"}, 70 * time.Second}
-	if !b.Doubtful(at(0), late, usual) || b.Doubtful(at(0), Pending{late.Offer, 60 * time.Second}, usual) {
+	var b BootTimes
+	late := PendingMachine{Offer{Type: "small", Zone: "a"}, 70 * time.Second}
+	if !b.Overdue(at(0), late, usual) || b.Overdue(at(0), PendingMachine{late.Offer, 60 * time.Second}, usual) {
 		t.Fatal("at the start, a machine is doubtful at more than twice the usual time")
 	}
 	for range 6 {
-		b.Came(at(200), "small", 120*time.Second, usual)
+		b.Record(at(200), "small", 120*time.Second, usual)
 	}
 	// What all of them take is no reason to doubt.
-	if b.Doubtful(at(200), Pending{late.Offer, 110 * time.Second}, usual) || b.Hopeless(at(200), Pending{late.Offer, 200 * time.Second}, usual) {
+	if b.Overdue(at(200), PendingMachine{late.Offer, 110 * time.Second}, usual) || b.TimedOut(at(200), PendingMachine{late.Offer, 200 * time.Second}, usual) {
 		t.Fatal("doubted, though all take as long")
 	}
 	for range 8 {
-		b.Came(at(260), "small", 2*time.Second, usual)
+		b.Record(at(260), "small", 2*time.Second, usual)
 	}
-	if b.Doubtful(at(260), Pending{late.Offer, 60 * time.Second}, usual) {
+	if b.Overdue(at(260), PendingMachine{late.Offer, 60 * time.Second}, usual) {
 		t.Fatal("others come within 2 s, and one that takes its time is doubted")
 	}
-	if !b.Doubtful(at(700), Pending{late.Offer, 70 * time.Second}, usual) || b.Hopeless(at(700), Pending{late.Offer, 70 * time.Second}, usual) || !b.Hopeless(at(700), Pending{late.Offer, 250 * time.Second}, usual) {
+	if !b.Overdue(at(700), PendingMachine{late.Offer, 70 * time.Second}, usual) || b.TimedOut(at(700), PendingMachine{late.Offer, 70 * time.Second}, usual) || !b.TimedOut(at(700), PendingMachine{late.Offer, 250 * time.Second}, usual) {
 		t.Fatal("a machine 40 s late is doubtful, one 130 s late is given up")
 	}
 }
@@ -42,20 +42,20 @@
 	if p := plan([]*Job{j}, []*Machine{late}); len(p.Rent) != 0 || len(p.Assign) != 1 {
 		t.Fatalf("%+v", p)
 	}
-	late.Doubtful = true
+	late.BootOverdue = true
 	if p := plan([]*Job{j}, []*Machine{late}); len(p.Rent) != 1 || len(p.Assign) != 0 || len(p.Return) != 0 {
 		t.Fatalf("%+v", p)
 	}
-	var b Boots
-	var waiting []Pending
+	var b BootTimes
+	var waiting []PendingMachine
 	for range maxDoubtful {
-		waiting = append(waiting, Pending{Offer{"small", "a", false}, 200 * time.Second})
+		waiting = append(waiting, PendingMachine{Offer{"small", "a", false}, 200 * time.Second})
 	}
 	usual := func(string) time.Duration { return 30 * time.Second }
-	if closed := b.Troubled(0, waiting, usual); !closed[Offer{"small", "a", false}] || len(closed) != 1 {
+	if closed := b.StalledOffers(0, waiting, usual); !closed[Offer{"small", "a", false}] || len(closed) != 1 {
 		t.Fatalf("%v", closed)
 	}
-	if closed := b.Troubled(0, waiting[1:], usual); len(closed) != 0 {
+	if closed := b.StalledOffers(0, waiting[1:], usual); len(closed) != 0 {
 		t.Fatalf("%v", closed)
 	}
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -20,28 +20,28 @@
 	Remaining int
 	Running   int       // of these, as far as is known
 	Deadline  core.Wall // 0: none
-	// Expected: it waits for jobs that run. It claims what is free once all others have, and
+	// ReadySoon: it waits for jobs that run. It claims what is free once all others have, and
 	// is rented for, so that machines are up when it may run; none is given to its block
 	// before.
-	Expected bool
-	// Announced: it waited for others, so it was expected before it could run.
-	Announced bool
+	ReadySoon bool
+	// HasDependencies: it waited for others, so it was expected before it could run.
+	HasDependencies bool
 }
 
 // Machine is a machine of a block or of the pool.
 type Machine struct {
-	ID    core.MachineID
-	Type  string
-	Zone  string
-	Spot  bool
-	Block int // NoBlock: in the pool
-	Asked bool
-	Ready bool // it is known to have booted
-	Idle  bool // its holder has nothing on it, as far as is known
-	// Doubtful: it should long have booted. It claims none of the waiting work, which
+	ID       core.MachineID
+	Type     string
+	Zone     string
+	Spot     bool
+	Block    int // NoBlock: in the pool
+	Draining bool
+	Ready    bool // it is known to have booted
+	Idle     bool // its holder has nothing on it, as far as is known
+	// BootOverdue: it should long have booted. It claims none of the waiting work, which
 	// goes to others; if it comes, it takes its part.
-	Doubtful bool
-	Free     time.Duration // how long it has been in the pool
+	BootOverdue bool
+	FreeFor     time.Duration // how long it has been in the pool
 }
 
 // NoBlock stands for the pool.
@@ -55,17 +55,17 @@
 
 // Input is what a plan is made from.
 type Input struct {
-	Now      core.Wall
-	Jobs     []*Job
-	Machines []*Machine
-	Types    map[string]api.MachineType
-	TeamMax  map[string]float64
-	Kept     KeptKinds
-	Closed   map[Offer]bool // kinds that were refused lately
-	Idle     time.Duration
-	// Keep is how much should stay although nobody claims it now, since so
+	Now               core.Wall
+	Jobs              []*Job
+	Machines          []*Machine
+	Types             map[string]api.MachineType
+	TeamQuota         map[string]float64
+	GangKinds         GangKinds
+	UnavailableOffers map[Offer]bool // kinds that were refused lately
+	IdleTimeout       time.Duration
+	// Forecast is how much should stay although nobody claims it now, since so
 	// much was wanted lately.
-	Keep Level
+	Forecast Demand
 }
 
 // Rental is machines to be rented for a block.
@@ -78,15 +78,15 @@
 // Plan is what should be done.
 type Plan struct {
 	Assign map[core.MachineID]int // pool machines to blocks
-	Ask    []core.MachineID       // machines to be asked back from their blocks
+	Drain  []core.MachineID       // machines to be asked back from their blocks
 	Rent   []Rental
 	Return []core.MachineID
-	Want   Level
+	Demand Demand
 }
 
 type room struct {
 	m     *Machine
-	free  placement.Need
+	free  placement.Resources
 	block int // for whom it is claimed
 	used  bool
 	tasks int
@@ -109,17 +109,17 @@
 	ordinary float64
 }
 
-// Make makes a plan: the unfinished jobs, oldest first, claim room on the
+// MakePlan makes a plan: the unfinished jobs, oldest first, claim room on the
 // machines; what is left over or missing decides.
-func Make(in Input) Plan {
+func MakePlan(in Input) Plan {
 	p := &planner{in: in, plan: Plan{Assign: map[core.MachineID]int{}}, team: map[string]float64{}, rooms: roomsOf(in)}
-	expected := only(inOrder(in.Jobs), func(j *Job) bool { return j.Expected })
-	ready := only(inOrder(in.Jobs), func(j *Job) bool { return !j.Expected })
+	expected := only(inOrder(in.Jobs), func(j *Job) bool { return j.ReadySoon })
+	ready := only(inOrder(in.Jobs), func(j *Job) bool { return !j.ReadySoon })
 	open := p.shareAll(ready)
-	p.plan.Want.Short = p.missing(only(in.Jobs, func(j *Job) bool { return !j.Expected }))
+	p.plan.Demand.MissingCPUs = p.missing(only(in.Jobs, func(j *Job) bool { return !j.ReadySoon }))
 	for _, u := range open {
 		// Nothing is rented for a job that fails wherever it runs.
-		if u.n > 0 && !u.j.Probe {
+		if u.n > 0 && !u.j.Failing {
 			p.rent(u.j, u.n)
 		}
 	}
@@ -135,10 +135,10 @@
 func roomsOf(in Input) (rooms []*room) {
 	for _, m := range in.Machines {
 		t, ok := in.Types[m.Type]
-		if !ok || m.Doubtful {
+		if !ok || m.BootOverdue {
 			continue
 		}
-		rooms = append(rooms, &room{m: m, free: placement.Room(t), block: m.Block, kept: in.Kept.Has(Kind{m.Type, m.Spot})})
+		rooms = append(rooms, &room{m: m, free: placement.CapacityOf(t), block: m.Block, kept: in.GangKinds.Has(MachineKind{m.Type, m.Spot})})
 	}
 	sort.SliceStable(rooms, func(a, b int) bool {
 		x, y := rooms[a], rooms[b]
@@ -161,10 +161,10 @@
 			return x.Gang
 		case x.Rank != y.Rank:
 			return x.Rank > y.Rank
-		case x.Timed != y.Timed:
-			return x.Timed
-		case x.At != y.At:
-			return x.At < y.At
+		case x.TimeSensitive != y.TimeSensitive:
+			return x.TimeSensitive
+		case x.ReadyAt != y.ReadyAt:
+			return x.ReadyAt < y.ReadyAt
 		}
 		return x.ID < y.ID
 	})
@@ -179,12 +179,12 @@
 	begin := first(jobs)
 	jobs = alike(jobs)
 	open := p.share(begin)
-	open = append(open, p.share(only(jobs, func(j *Job) bool { return !j.Idle() && j.Gang }))...)
+	open = append(open, p.share(only(jobs, func(j *Job) bool { return !j.Opportunistic() && j.Gang }))...)
 	for rank := placement.TopRank; rank >= 0; rank-- {
-		p.hold(only(jobs, func(j *Job) bool { return j.Idle() && !j.Gang && j.Rank == rank }))
-		open = append(open, p.share(only(jobs, func(j *Job) bool { return !j.Idle() && !j.Gang && j.Rank == rank }))...)
+		p.hold(only(jobs, func(j *Job) bool { return j.Opportunistic() && !j.Gang && j.Rank == rank }))
+		open = append(open, p.share(only(jobs, func(j *Job) bool { return !j.Opportunistic() && !j.Gang && j.Rank == rank }))...)
 	}
-	return append(open, p.share(only(jobs, func(j *Job) bool { return j.Idle() }))...)
+	return append(open, p.share(only(jobs, func(j *Job) bool { return j.Opportunistic() }))...)
 }
 
 // move assigns claimed machines of the pool, and asks those back that another block claims.
@@ -193,8 +193,8 @@
 		switch {
 		case r.m.Block == NoBlock && r.used && r.block != NoBlock:
 			p.plan.Assign[r.m.ID] = r.block
-		case r.m.Block != NoBlock && r.used && r.block != r.m.Block && !r.m.Asked:
-			p.plan.Ask = append(p.plan.Ask, r.m.ID)
+		case r.m.Block != NoBlock && r.used && r.block != r.m.Block && !r.m.Draining:
+			p.plan.Drain = append(p.plan.Drain, r.m.ID)
 		}
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -20,20 +20,20 @@
 
 func gangOf(id string, tasks int, cpus float64) *Job {
 	j := &Job{Remaining: tasks}
-	j.ID, j.Team, j.Gang, j.Tasks, j.Need = core.JobID(id), "red", true, tasks, placement.Need{CPUs: cpus, MemoryGB: 1}
+	j.ID, j.Team, j.Gang, j.Tasks, j.Need = core.JobID(id), "red", true, tasks, placement.Resources{CPUs: cpus, MemoryGB: 1}
 	j.Estimate = time.Minute
 	return j
 }
 
 func plan(jobs []*Job, machines []*Machine) Plan {
-	return Make(Input{Jobs: jobs, Machines: machines, Types: types(), TeamMax: map[string]float64{"red": 100}, Idle: time.Minute})
+	return MakePlan(Input{Jobs: jobs, Machines: machines, Types: types(), TeamQuota: map[string]float64{"red": 100}, IdleTimeout: time.Minute})
 }
 
 // A gang whose tasks may not all be in one zone needs machines in two: renting
 // for it in one zone only left it waiting for ever.
 func TestScatteredGangRentsInTwoZones(t *testing.T) {
 	j := gangOf("req-1", 3, 8)
-	j.Scatter = true
+	j.SpreadZones = true
 	zones := map[string]int{}
 	for _, r := range plan([]*Job{j}, nil).Rent {
 		zones[r.Zone] += r.Count
@@ -48,10 +48,10 @@
 func TestMachinesAreReadyForTheNextStep(t *testing.T) {
 	step := func(soon bool) *Job {
 		j := gangOf("req-2", 16, 1)
-		j.Gang, j.Spot, j.Timed, j.Block, j.Expected = false, true, true, 1, soon
+		j.Gang, j.Spot, j.TimeSensitive, j.Block, j.ReadySoon = false, true, true, 1, soon
 		return j
 	}
-	idle := &Machine{ID: "n-1", Type: "small", Zone: "a", Spot: true, Block: NoBlock, Ready: true, Free: time.Hour}
+	idle := &Machine{ID: "n-1", Type: "small", Zone: "a", Spot: true, Block: NoBlock, Ready: true, FreeFor: time.Hour}
 	p := plan([]*Job{step(true)}, []*Machine{idle})
 	if len(p.Assign) > 0 || len(p.Return) > 0 || len(p.Rent) != 1 || p.Rent[0].Block != NoBlock || p.Rent[0].Count != 1 {
 		t.Fatalf("soon: %+v", p)
@@ -63,7 +63,7 @@
 	other.Block = 0
 	held := &Machine{ID: "n-2", Type: "small", Zone: "a", Block: 0, Ready: true, Idle: true}
 	p = plan([]*Job{step(true), other}, []*Machine{idle, held})
-	if len(p.Ask) > 0 || len(p.Rent) != 1 {
+	if len(p.Drain) > 0 || len(p.Rent) != 1 {
 		t.Fatalf("beside others: %+v", p)
 	}
 }
@@ -95,7 +95,7 @@
 		age  core.Wall
 		late bool
 	}{{x, 110_000, false}, {x, 121_000, true}, {y, 10_000, false}, {y, 59_000, false}, {y, 61_000, true}, {y, 901_000, false}, {z, 500_000, false}} {
-		if got := Late(aims, tc.job, 0, 0, tc.age); got != tc.late {
+		if got := MissesObjectives(aims, tc.job, 0, 0, tc.age); got != tc.late {
 			t.Errorf("%s at %d: %v", tc.job.Class, tc.age, got)
 		}
 	}
@@ -105,37 +105,37 @@
 // wanted than is there; else the money goes to machines that come too late.
 func TestOrdinaryMachinesOnlyInScarcity(t *testing.T) {
 	j := &Job{Remaining: 40}
-	j.ID, j.Team, j.Tasks, j.Spot, j.Timed, j.Need, j.Estimate = "req-1", "red", 40, true, true, placement.Need{CPUs: 1, MemoryGB: 1}, time.Minute
-	in := Input{Jobs: []*Job{j}, Types: types(), TeamMax: map[string]float64{"red": 100}, Closed: map[Offer]bool{}}
+	j.ID, j.Team, j.Tasks, j.Spot, j.TimeSensitive, j.Need, j.Estimate = "req-1", "red", 40, true, true, placement.Resources{CPUs: 1, MemoryGB: 1}, time.Minute
+	in := Input{Jobs: []*Job{j}, Types: types(), TeamQuota: map[string]float64{"red": 100}, UnavailableOffers: map[Offer]bool{}}
 	for _, o := range []Offer{{"small", "a", true}, {"small", "b", true}, {"large", "a", true}} {
-		in.Closed[o] = true // no spot machine can be had
+		in.UnavailableOffers[o] = true // no spot machine can be had
 	}
-	if p := Make(in); len(p.Rent) != 1 || p.Rent[0].Spot {
+	if p := MakePlan(in); len(p.Rent) != 1 || p.Rent[0].Spot {
 		t.Fatalf("nothing is there, and %+v is rented", p.Rent)
 	}
 	for range 2 {
 		in.Machines = append(in.Machines, &Machine{ID: core.MachineID(rune('a' + len(in.Machines))), Type: "small", Zone: "a"})
 	}
-	if p := Make(in); len(p.Rent) != 0 {
+	if p := MakePlan(in); len(p.Rent) != 0 {
 		t.Fatalf("16 CPUs for 40 tasks, and %+v is rented", p.Rent)
 	}
 	// Within a guarantee it gets all that it needs, also ahead of time: the steps of
 	// pipelines waited for spot machines that nobody had left.
 	for _, expected := range []bool{false, true} {
-		j.Guaranteed, j.Expected = true, expected
-		if p := Make(in); len(p.Rent) != 1 || p.Rent[0].Spot || p.Rent[0].Count != 3 {
+		j.Guaranteed, j.ReadySoon = true, expected
+		if p := MakePlan(in); len(p.Rent) != 1 || p.Rent[0].Spot || p.Rent[0].Count != 3 {
 			t.Fatalf("24 CPUs are missing within a guarantee, expected %v, and %+v is rented", expected, p.Rent)
 		}
 	}
-	j.Guaranteed, j.Expected = false, false
+	j.Guaranteed, j.ReadySoon = false, false
 	// What is rented within a guarantee takes nothing from what is missing for others: an
 	// array of a team without one was left with a third of it done.
 	own := *j
 	own.ID, own.Team, own.Guaranteed = "req-0", "blue", true
 	short := in
-	short.Jobs, short.Keep, short.TeamMax = []*Job{&own, j}, Level{Short: 40}, map[string]float64{"red": 100, "blue": 100}
+	short.Jobs, short.Forecast, short.TeamQuota = []*Job{&own, j}, Demand{MissingCPUs: 40}, map[string]float64{"red": 100, "blue": 100}
 	rented := 0.0
-	for _, r := range Make(short).Rent {
+	for _, r := range MakePlan(short).Rent {
 		rented += float64(r.Count) * in.Types[r.Type].CPUs
 	}
 	if rented < 64 {
@@ -144,12 +144,12 @@
 	// Work for which nobody waits gets no ordinary machines however much of it there
 	// is, beyond a little where it has nothing at all. A borrowing team's 2,600 CPUs of it took
 	// 60 of them at three times the price (docs/incidents/inc-b616.md).
-	j.Timed, j.Remaining, j.Tasks = false, 90, 90
-	if p := Make(in); len(p.Rent) != 0 || p.Want.Spot != 0 {
+	j.TimeSensitive, j.Remaining, j.Tasks = false, 90, 90
+	if p := MakePlan(in); len(p.Rent) != 0 || p.Demand.SpotCPUs != 0 {
 		t.Fatalf("%+v", p)
 	}
 	in.Machines = nil
-	if p := Make(in); len(p.Rent) != 1 || p.Rent[0].Spot || p.Rent[0].Count != 1 {
+	if p := MakePlan(in); len(p.Rent) != 1 || p.Rent[0].Spot || p.Rent[0].Count != 1 {
 		t.Fatalf("%+v", p.Rent)
 	}
 }
@@ -159,7 +159,7 @@
 	var jobs []*Job
 	for i := range 50 {
 		j := &Job{Remaining: 1, Deadline: core.Wall(100_000 + i)}
-		j.ID, j.Team, j.Tasks, j.Spot, j.Timed, j.At, j.Need, j.Estimate = core.JobID(fmt.Sprint("req-", 100+i)), "red", 1, true, true, core.Wall(i), placement.Need{CPUs: 0.5, MemoryGB: 1}, time.Minute
+		j.ID, j.Team, j.Tasks, j.Spot, j.TimeSensitive, j.ReadyAt, j.Need, j.Estimate = core.JobID(fmt.Sprint("req-", 100+i)), "red", 1, true, true, core.Wall(i), placement.Resources{CPUs: 0.5, MemoryGB: 1}, time.Minute
 		jobs = append(jobs, j)
 	}
 	if n := len(alike(jobs)); n != 1 {
@@ -179,8 +179,8 @@
 func TestMovesAndReturns(t *testing.T) {
 	j := gangOf("req-1", 1, 30)
 	j.Block = 1
-	p := plan([]*Job{j}, []*Machine{{ID: "n-1", Type: "large", Zone: "a", Block: 0}, {ID: "n-2", Type: "small", Zone: "a", Block: NoBlock, Free: time.Hour}, {ID: "n-3", Type: "small", Zone: "a", Block: NoBlock}})
-	if len(p.Ask) != 1 || p.Ask[0] != "n-1" || len(p.Rent) != 0 || len(p.Return) != 1 || p.Return[0] != "n-2" {
+	p := plan([]*Job{j}, []*Machine{{ID: "n-1", Type: "large", Zone: "a", Block: 0}, {ID: "n-2", Type: "small", Zone: "a", Block: NoBlock, FreeFor: time.Hour}, {ID: "n-3", Type: "small", Zone: "a", Block: NoBlock}})
+	if len(p.Drain) != 1 || p.Drain[0] != "n-1" || len(p.Rent) != 0 || len(p.Return) != 1 || p.Return[0] != "n-2" {
 		t.Fatalf("%+v", p)
 	}
 	p = plan([]*Job{j}, []*Machine{{ID: "n-1", Type: "large", Zone: "a", Block: NoBlock}, {ID: "n-2", Type: "large", Zone: "a", Block: NoBlock, Ready: true}})
@@ -204,9 +204,9 @@
 		jobs = append(jobs, gangOf(string(rune('a'+i)), 1, 20))
 	}
 	for i := range 6 {
-		machines = append(machines, &Machine{ID: core.MachineID('k' + rune(i)), Type: "small", Zone: "a", Spot: true, Block: NoBlock, Ready: true, Free: time.Hour})
+		machines = append(machines, &Machine{ID: core.MachineID('k' + rune(i)), Type: "small", Zone: "a", Spot: true, Block: NoBlock, Ready: true, FreeFor: time.Hour})
 	}
-	p := Make(Input{Jobs: jobs, Machines: machines, Types: types(), TeamMax: map[string]float64{"red": 1000}, Idle: time.Minute, Keep: Level{Spot: 80}})
+	p := MakePlan(Input{Jobs: jobs, Machines: machines, Types: types(), TeamQuota: map[string]float64{"red": 1000}, IdleTimeout: time.Minute, Forecast: Demand{SpotCPUs: 80}})
 	// The gangs leave 48 CPUs; with 32 of the small machines that is 80.
 	if len(p.Return) != 2 {
 		t.Fatalf("%d of 6 small machines go back", len(p.Return))
@@ -218,13 +218,13 @@
 // rented ahead for half of its size, while nothing else was left to run.
 func TestAnnouncedJobsAreNoArrivals(t *testing.T) {
 	for _, announced := range []bool{false, true} {
-		j := &Job{Remaining: 100, Announced: announced}
-		j.ID, j.Team, j.Tasks, j.Spot, j.Guaranteed, j.Need = "req-1", "red", 100, true, true, placement.Need{CPUs: 1, MemoryGB: 1}
-		var trend Trend
-		trend.Note(0, Level{})
-		trend.Arrivals(core.Time(time.Second), []*Job{j}, nil, types())
-		trend.Note(core.Time(time.Second), Level{})
-		if ahead := trend.Keep().Spot; (ahead > 0) == announced {
+		j := &Job{Remaining: 100, HasDependencies: announced}
+		j.ID, j.Team, j.Tasks, j.Spot, j.Guaranteed, j.Need = "req-1", "red", 100, true, true, placement.Resources{CPUs: 1, MemoryGB: 1}
+		var trend DemandTrend
+		trend.Observe(0, Demand{})
+		trend.ObserveArrivals(core.Time(time.Second), []*Job{j}, nil, types())
+		trend.Observe(core.Time(time.Second), Demand{})
+		if ahead := trend.Forecast().SpotCPUs; (ahead > 0) == announced {
 			t.Errorf("announced %v: %v CPUs are kept ready", announced, ahead)
 		}
 	}
--- a/internal/capacity/guarantee.go
+++ b/internal/capacity/guarantee.go
@@ -18,9 +18,9 @@
 	return g
 }
 
-// Within adds a team's next job, that wants so many CPUs, and tells whether it
+// AddJob adds a team's next job, that wants so many CPUs, and tells whether it
 // fits.
-func (g *Guarantees) Within(team string, cpus float64) bool {
+func (g *Guarantees) AddJob(team string, cpus float64) bool {
 	g.wanted[team] += cpus
 	return g.wanted[team] <= g.guaranteed[team]
 }
--- a/internal/capacity/late.go
+++ b/internal/capacity/late.go
@@ -47,12 +47,12 @@
 	return placement.NotStarving
 }
 
-// Due lists by when an array should be complete, for each of the users' aims on its
+// DueTimes lists by when an array should be complete, for each of the users' aims on its
 // completion, the one that leaves least time first: those on its deadline, if it has
 // one, else those on the time that jobs of its class may take. A deadline counts from
 // sent, when the job was submitted, all else from at, since when it may run. needed is by
 // when jobs that depend on it want it done (0: any time).
-func Due(aims []config.Aim, spec *api.Job, sent, at, needed core.Wall) (due []core.Wall) {
+func DueTimes(aims []config.Aim, spec *api.Job, sent, at, needed core.Wall) (due []core.Wall) {
 	if spec.Form == api.FormGang {
 		return nil
 	}
@@ -82,18 +82,18 @@
 	return due
 }
 
-// Timed tells whether users have stated by when a job should begin or be complete:
+// TimeSensitive tells whether users have stated by when a job should begin or be complete:
 // by an aim on its class, or by its deadline.
-func Timed(aims []config.Aim, spec *api.Job) bool {
+func TimeSensitive(aims []config.Aim, spec *api.Job) bool {
 	return spec.DeadlineS != nil || slices.ContainsFunc(aims, func(a config.Aim) bool {
 		return a.Class == spec.Class && (a.Kind == "wait" || a.Kind == "finished")
 	})
 }
 
-// Late tells whether a waiting job can no longer meet any of the aims that its
+// MissesObjectives tells whether a waiting job can no longer meet any of the aims that its
 // users stated for its class, nor its own deadline. Such a job yields to those
 // that can still be in time.
-func Late(aims []config.Aim, spec *api.Job, sent, at, now core.Wall) bool {
+func MissesObjectives(aims []config.Aim, spec *api.Job, sent, at, now core.Wall) bool {
 	age := time.Duration(now-at) * time.Millisecond
 	if age > lateFor {
 		return false
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -25,26 +25,26 @@
 		if r.kept {
 			have.Kept++
 			if r.used {
-				p.plan.Want.Kept++
+				p.plan.Demand.GangMachines++
 			}
 		} else {
 			have.CPUs += p.cpus(r)
 		}
-		if r.m.Block == NoBlock && !r.used && r.m.Free >= p.in.Idle {
+		if r.m.Block == NoBlock && !r.used && r.m.FreeFor >= p.in.IdleTimeout {
 			idle = append(idle, r)
 		}
 	}
 	sort.SliceStable(idle, func(a, b int) bool { return cost(idle[a]) > cost(idle[b]) })
 	for _, r := range idle {
-		if p.in.Kept.Has(Kind{r.m.Type, r.m.Spot}) {
-			if have.Kept-1 < p.plan.Want.Kept+p.spare(r.m.Type) {
+		if p.in.GangKinds.Has(MachineKind{r.m.Type, r.m.Spot}) {
+			if have.Kept-1 < p.plan.Demand.GangMachines+p.spare(r.m.Type) {
 				continue
 			}
 			have.Kept--
 		} else {
 			cpus := p.in.Types[r.m.Type].CPUs
 			// A level fades but never quite ends: half a machine counts as none.
-			if r.m.Spot && have.CPUs-cpus < p.in.Keep.Spot-cpus/2 {
+			if r.m.Spot && have.CPUs-cpus < p.in.Forecast.SpotCPUs-cpus/2 {
 				continue
 			}
 			have.CPUs -= cpus
@@ -58,14 +58,14 @@
 // spare is how many kept machines of a type should be ready beyond those that
 // are wanted now: as many as arriving gangs probably want while one boots.
 func (p *planner) spare(typ string) float64 {
-	return math.Round(p.in.Keep.Rate * (1.2*p.in.Types[typ].BootS + 3))
+	return math.Round(p.in.Forecast.GangRate * (1.2*p.in.Types[typ].BootS + 3))
 }
 
 // rentSpare rents kept machines, the cheapest, so that enough are ready.
 func (p *planner) rentSpare(have float64) {
 	var best Offer
 	cost := math.Inf(1)
-	for kind := range p.in.Kept {
+	for kind := range p.in.GangKinds {
 		t := p.in.Types[kind.Type]
 		price := t.Price
 		if kind.Spot {
@@ -73,7 +73,7 @@
 		}
 		for _, zone := range t.Zones {
 			o := Offer{kind.Type, zone, kind.Spot}
-			if p.in.Closed[o] || p.plan.Want.Kept+p.spare(kind.Type) <= have {
+			if p.in.UnavailableOffers[o] || p.plan.Demand.GangMachines+p.spare(kind.Type) <= have {
 				continue
 			}
 			if price < cost-1e-9 || price < cost+1e-9 && kind.Type+zone < best.Type+best.Zone {
@@ -82,7 +82,7 @@
 		}
 	}
 	if best.Type != "" {
-		p.plan.Rent = append(p.plan.Rent, Rental{best, NoBlock, int(min(p.plan.Want.Kept+p.spare(best.Type)-have, 5))})
+		p.plan.Rent = append(p.plan.Rent, Rental{best, NoBlock, int(min(p.plan.Demand.GangMachines+p.spare(best.Type)-have, 5))})
 	}
 }
 
@@ -95,7 +95,7 @@
 		t := p.in.Types[name]
 		for _, zone := range t.Zones {
 			o := Offer{name, zone, true}
-			if c := t.SpotPrice / t.CPUs; c < cost-1e-9 && !p.in.Closed[o] && !p.in.Kept.Has(Kind{name, true}) && have+t.CPUs/2 < p.in.Keep.Spot {
+			if c := t.SpotPrice / t.CPUs; c < cost-1e-9 && !p.in.UnavailableOffers[o] && !p.in.GangKinds.Has(MachineKind{name, true}) && have+t.CPUs/2 < p.in.Forecast.SpotCPUs {
 				best, cost = o, c
 			}
 		}
@@ -103,7 +103,7 @@
 	if best.Type == "" || len(p.plan.Rent) > 0 {
 		return
 	}
-	n := int(math.Ceil((p.in.Keep.Spot - have) / p.in.Types[best.Type].CPUs))
+	n := int(math.Ceil((p.in.Forecast.SpotCPUs - have) / p.in.Types[best.Type].CPUs))
 	p.plan.Rent = append(p.plan.Rent, Rental{best, NoBlock, min(n, 10)})
 }
 
@@ -127,19 +127,19 @@
 	}
 	have := 0.0
 	for _, r := range p.rooms {
-		if (!r.kept || j.NoChoice) && j.Allows(r.m.Type, r.m.Zone, r.m.Spot) {
+		if (!r.kept || j.GangMachinesOnly) && j.Allows(r.m.Type, r.m.Zone, r.m.Spot) {
 			have += p.cpus(r)
 		}
 	}
-	if !j.Timed {
+	if !j.TimeSensitive {
 		// Nobody waits for it: it takes what is idle and what is cheap. Only where
 		// that is next to nothing it gets a little of its own, so that it is served.
 		return float64(j.Remaining)*j.Need.CPUs/idleShare - have - p.ordinary
 	}
-	if p.plan.Want.Spot > scarce*have {
+	if p.plan.Demand.SpotCPUs > scarce*have {
 		return math.Inf(1)
 	}
-	return p.in.Keep.Short - p.ordinary
+	return p.in.Forecast.MissingCPUs - p.ordinary
 }
 
 // missing estimates how many CPUs more would bring arrays in time that cannot be
@@ -147,17 +147,17 @@
 func (p *planner) missing(jobs []*Job) (cpus float64) {
 	byTeam := map[string][]*placement.Job{}
 	for _, j := range jobs {
-		if !j.Gang && j.Spot && j.Deadline > 0 && j.Remaining > 0 && !j.Probe {
-			j.Late = 0
+		if !j.Gang && j.Spot && j.Deadline > 0 && j.Remaining > 0 && !j.Failing {
+			j.MissedDueTimes = 0
 			j.Timing = placement.Timing{Due: []core.Wall{j.Deadline}, Work: float64(j.Remaining) * j.Need.CPUs * j.Estimate.Seconds()}
 			byTeam[j.Team] = append(byTeam[j.Team], &j.Job)
 		}
 	}
 	var possible []*placement.Job
 	for _, team := range core.Keys(byTeam) {
-		placement.Defer(p.in.Now, p.in.TeamMax[team], 0, byTeam[team])
+		placement.Defer(p.in.Now, p.in.TeamQuota[team], 0, byTeam[team])
 		for _, j := range byTeam[team] {
-			if j.Late == 0 {
+			if j.MissedDueTimes == 0 {
 				possible = append(possible, j)
 			}
 		}
@@ -171,7 +171,7 @@
 	for _, j := range jobs {
 		// What runs for nobody in particular, for minutes, is no room for those who
 		// have a time: an array stated to be done in 400 s waited 280 behind it.
-		if j.Idle() && !j.Gang {
+		if j.Opportunistic() && !j.Gang {
 			have -= float64(j.Running) * j.Need.CPUs
 		}
 	}
@@ -182,7 +182,7 @@
 			left := float64(j.Timing.Due[0]-p.in.Now) / 1000
 			switch {
 			case left <= 0:
-			case j.Late > 0:
+			case j.MissedDueTimes > 0:
 				cpus += j.Timing.Work / left
 			default:
 				// What those of a higher rank take is not there for others, however
@@ -224,18 +224,18 @@
 		count = int(min(float64(count), ordinary/t.CPUs))
 		p.ordinary += float64(count) * t.CPUs
 	}
-	if j.Scatter {
+	if j.SpreadZones {
 		count = min(count, (j.Tasks+1)/2)
 	}
 	for i := range count {
 		p.rooms = append(p.rooms, &room{
 			m:    &Machine{ID: core.MachineID("rented" + string(rune('0'+i))), Type: best.offer.Type, Zone: best.offer.Zone, Spot: best.offer.Spot, Block: j.Block},
-			free: placement.Room(t), block: j.Block, kept: p.in.Kept.Has(Kind{best.offer.Type, best.offer.Spot}),
+			free: placement.CapacityOf(t), block: j.Block, kept: p.in.GangKinds.Has(MachineKind{best.offer.Type, best.offer.Spot}),
 		})
 	}
 	p.addRental(Rental{best.offer, j.Block, count})
 	left := n - p.claim(j, n, func(r *room) bool { return r.block == j.Block })
-	if j.Scatter && left > 0 && left < n {
+	if j.SpreadZones && left > 0 && left < n {
 		p.rent(j, left) // the rest has to go to another zone
 	}
 }
@@ -249,7 +249,7 @@
 func (p *planner) cheapest(j *Job, n int, ordinary float64) (best choice, found bool) {
 	for _, name := range core.Keys(p.in.Types) {
 		t := p.in.Types[name]
-		fit := fitting(j.Need, placement.Room(t), min(n, placement.MaxTasks))
+		fit := fitting(j.Need, placement.CapacityOf(t), min(n, placement.MaxTasks))
 		if fit == 0 {
 			continue
 		}
@@ -274,9 +274,9 @@
 }
 
 // fitting is how many tasks of a need a room takes, most at the most.
-func fitting(need, room placement.Need, most int) (n int) {
+func fitting(need, room placement.Resources, most int) (n int) {
 	for n < most && need.Fits(room) {
-		room = room.Minus(need)
+		room = room.Sub(need)
 		n++
 	}
 	return n
@@ -284,7 +284,7 @@
 
 // rentable tells whether machines of a kind can be had and suit a job.
 func (p *planner) rentable(j *Job, o Offer) bool {
-	return !p.in.Closed[o] && !p.keeps(j, o.Type, o.Spot) && j.Allows(o.Type, o.Zone, o.Spot) && j.ZoneAllows(o.Zone, j.Zones)
+	return !p.in.UnavailableOffers[o] && !p.keeps(j, o.Type, o.Spot) && j.Allows(o.Type, o.Zone, o.Spot) && j.AllowsZone(o.Zone, j.TasksByZone)
 }
 
 // addRental adds machines to a rental of the same kind for the same block, if there is one.
--- a/internal/capacity/shapes.go
+++ b/internal/capacity/shapes.go
@@ -9,17 +9,17 @@
 	"lichenstair/internal/placement"
 )
 
-// Shape is what a task of a gang needs of its machine.
-type Shape struct {
-	Need  placement.Need
+// GangShape is what a task of a gang needs of its machine.
+type GangShape struct {
+	Need  placement.Resources
 	Types string // the allowed types, joined
 	Spot  bool
 }
 
-// Shapes remembers what kinds of gangs have come lately, so that machines that
+// GangShapes remembers what kinds of gangs have come lately, so that machines that
 // alone can take them are not filled with what fits elsewhere.
-type Shapes struct {
-	seen map[Shape]sighting
+type GangShapes struct {
+	seen map[GangShape]sighting
 }
 
 type sighting struct {
@@ -33,74 +33,74 @@
 	maxShapes  = 64
 )
 
-// Note remembers a gang.
-func (s *Shapes) Note(now core.Time, spec *api.Job) {
+// Observe remembers a gang.
+func (s *GangShapes) Observe(now core.Time, spec *api.Job) {
 	if spec.Form != api.FormGang {
 		return
 	}
 	if s.seen == nil {
-		s.seen = map[Shape]sighting{}
+		s.seen = map[GangShape]sighting{}
 	}
-	k := Shape{Need: placement.Need{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}, Spot: spec.Spot}
+	k := GangShape{Need: placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}, Spot: spec.Spot}
 	for _, t := range spec.Types {
 		k.Types += t + " "
 	}
 	if _, ok := s.seen[k]; !ok && len(s.seen) >= maxShapes {
 		return
 	}
-	s.seen[k] = sighting{now, placement.JobOf("", 0, spec), spec.Class}
+	s.seen[k] = sighting{now, placement.NewJob("", 0, spec), spec.Class}
 }
 
-// NoChoice tells whether a job's tasks fit only on kinds that are kept.
-func NoChoice(j *placement.Job, types map[string]api.MachineType, kept KeptKinds) bool {
+// GangMachinesOnly tells whether a job's tasks fit only on kinds that are kept.
+func GangMachinesOnly(j *placement.Job, types map[string]api.MachineType, kept GangKinds) bool {
 	for name, t := range types {
-		if j.Need.Fits(placement.Room(t)) && j.Allows(name, j.Zone, false) &&
-			(!kept.Has(Kind{name, false}) || j.Spot && !kept.Has(Kind{name, true})) {
+		if j.Need.Fits(placement.CapacityOf(t)) && j.Allows(name, j.Zone, false) &&
+			(!kept.Has(MachineKind{name, false}) || j.Spot && !kept.Has(MachineKind{name, true})) {
 			return false
 		}
 	}
 	return true
 }
 
-// Kind is a type of machine, spot or ordinary.
-type Kind struct {
+// MachineKind is a type of machine, spot or ordinary.
+type MachineKind struct {
 	Type string
 	Spot bool
 }
 
-// KeptKinds maps each kind of machine that is kept for gangs to the largest need of a
+// GangKinds maps each kind of machine that is kept for gangs to the largest need of a
 // task of those gangs.
-type KeptKinds map[Kind]placement.Need
+type GangKinds map[MachineKind]placement.Resources
 
 // Has tells whether a kind is kept for gangs.
-func (k KeptKinds) Has(kind Kind) bool {
+func (k GangKinds) Has(kind MachineKind) bool {
 	_, ok := k[kind]
 	return ok
 }
 
 // Add notes that a gang wants machines of a type, spot machines too if it may use them.
-func (k KeptKinds) Add(typ string, gang *placement.Job) {
-	kinds := []Kind{{typ, false}}
+func (k GangKinds) Add(typ string, gang *placement.Job) {
+	kinds := []MachineKind{{typ, false}}
 	if gang.Spot {
-		kinds = append(kinds, Kind{typ, true})
+		kinds = append(kinds, MachineKind{typ, true})
 	}
 	for _, kind := range kinds {
 		have := k[kind]
-		k[kind] = placement.Need{CPUs: max(have.CPUs, gang.Need.CPUs), GPUs: max(have.GPUs, gang.Need.GPUs), MemoryGB: max(have.MemoryGB, gang.Need.MemoryGB)}
+		k[kind] = placement.Resources{CPUs: max(have.CPUs, gang.Need.CPUs), GPUs: max(have.GPUs, gang.Need.GPUs), MemoryGB: max(have.MemoryGB, gang.Need.MemoryGB)}
 	}
 }
 
-// Kept lists the kinds of machine that are kept for gangs: a gang that came
+// GangKinds lists the kinds of machine that are kept for gangs: a gang that came
 // lately fits there, does not fit on some other type that arrays can use, and
 // cannot wait until one boots.
-func (s *Shapes) Kept(now core.Time, aims []config.Aim, types map[string]api.MachineType) KeptKinds {
-	out := KeptKinds{}
+func (s *GangShapes) GangKinds(now core.Time, aims []config.Aim, types map[string]api.MachineType) GangKinds {
+	out := GangKinds{}
 	for k, seen := range s.seen {
 		if now.Sub(seen.at) > remembered {
 			delete(s.seen, k)
 			continue
 		}
-		for _, name := range Scarce(&seen.job, types) {
+		for _, name := range RestrictedTypes(&seen.job, types) {
 			if canWait(aims, seen.class, 2*core.Seconds(types[name].BootS)) {
 				continue
 			}
@@ -110,15 +110,15 @@
 	return out
 }
 
-// Scarce lists the types on which a gang's tasks fit, if they do not fit on all. For a
+// RestrictedTypes lists the types on which a gang's tasks fit, if they do not fit on all. For a
 // gang that can never be placed nothing is scarce: it kept arrays off machines that it
 // could not use either.
-func Scarce(j *placement.Job, types map[string]api.MachineType) (fit []string) {
+func RestrictedTypes(j *placement.Job, types map[string]api.MachineType) (fit []string) {
 	if !j.Placeable(types) {
 		return nil
 	}
 	for _, name := range core.Keys(types) {
-		if j.Need.Fits(placement.Room(types[name])) && j.Allows(name, j.Zone, false) {
+		if j.Need.Fits(placement.CapacityOf(types[name])) && j.Allows(name, j.Zone, false) {
 			fit = append(fit, name)
 		}
 	}
--- a/internal/capacity/share.go
+++ b/internal/capacity/share.go
@@ -14,11 +14,11 @@
 // claims in its turn.
 func first(jobs []*Job) (out []*Job) {
 	for _, j := range jobs {
-		if !j.Overdue || j.Probe || j.Remaining == 0 {
+		if !j.Overdue || j.Failing || j.Remaining == 0 {
 			continue
 		}
 		b := *j
-		b.Timed = true
+		b.TimeSensitive = true
 		if !j.Gang {
 			b.Remaining = 1
 		}
@@ -47,7 +47,7 @@
 		if n <= 0 {
 			continue
 		}
-		j.NoChoice, j.Zones = NoChoice(&j.Job, p.in.Types, p.in.Kept), map[string]int{}
+		j.GangMachinesOnly, j.TasksByZone = GangMachinesOnly(&j.Job, p.in.Types, p.in.GangKinds), map[string]int{}
 		got := p.claim(j, n, func(r *room) bool { return r.block == j.Block })
 		j.Remaining -= got
 		p.team[j.Team] += float64(got) * j.Need.CPUs
@@ -58,10 +58,10 @@
 // what is missing: a step of a pipeline takes less time than a machine takes to boot.
 func (p *planner) expect(jobs []*Job) {
 	for _, j := range jobs {
-		if j.Idle() || j.Probe {
+		if j.Opportunistic() || j.Failing {
 			continue
 		}
-		j.NoChoice, j.Zones = NoChoice(&j.Job, p.in.Types, p.in.Kept), map[string]int{}
+		j.GangMachinesOnly, j.TasksByZone = GangMachinesOnly(&j.Job, p.in.Types, p.in.GangKinds), map[string]int{}
 		n := p.wants(j)
 		if n <= 0 {
 			continue
@@ -86,9 +86,9 @@
 // and lists what is left over.
 func (p *planner) share(jobs []*Job) (open []unmet) {
 	for _, j := range jobs {
-		j.NoChoice = NoChoice(&j.Job, p.in.Types, p.in.Kept)
+		j.GangMachinesOnly = GangMachinesOnly(&j.Job, p.in.Types, p.in.GangKinds)
 		n := p.wants(j)
-		if j.Probe && !j.Gang {
+		if j.Failing && !j.Gang {
 			n = min(n, 1)
 		}
 		if n <= 0 {
@@ -96,18 +96,18 @@
 		}
 		p.team[j.Team] += float64(n) * j.Need.CPUs
 		// Work that nobody waits for is no reason to keep machines ready for more.
-		if !j.Gang && j.Spot && !j.Idle() && !j.Probe {
-			p.plan.Want.Spot += float64(n) * j.Need.CPUs
+		if !j.Gang && j.Spot && !j.Opportunistic() && !j.Failing {
+			p.plan.Demand.SpotCPUs += float64(n) * j.Need.CPUs
 		}
-		j.Zones = map[string]int{}
+		j.TasksByZone = map[string]int{}
 		if j.OneZone && j.Zone == "" {
 			j.Zone = p.zone(j, n)
 		}
 		got := p.claim(j, n, func(r *room) bool { return r.block == j.Block })
-		if got == 0 && j.Starvation == placement.Starved && !j.Gang && !j.NoChoice {
-			j.NoChoice = true
-			got = p.claim(j, 1, func(r *room) bool { return r.block == j.Block || r.block == NoBlock && r.m.Free >= starvedAfter/2 })
-			j.NoChoice = false
+		if got == 0 && j.Starvation == placement.Starved && !j.Gang && !j.GangMachinesOnly {
+			j.GangMachinesOnly = true
+			got = p.claim(j, 1, func(r *room) bool { return r.block == j.Block || r.block == NoBlock && r.m.FreeFor >= starvedAfter/2 })
+			j.GangMachinesOnly = false
 		}
 		n -= got
 		if n > 0 && j.Gang {
@@ -135,7 +135,7 @@
 	whole := func(j *Job) bool { return j.Deadline == 0 || j.Guaranteed || j.Remaining == 1 }
 	same := func(a, b *Job) bool {
 		return !a.Gang && !b.Gang && a.Block == b.Block && a.Team == b.Team && a.Rank == b.Rank && a.Need == b.Need && a.Spot == b.Spot && a.Zone == b.Zone &&
-			!a.OneZone && !b.OneZone && !a.Scatter && !b.Scatter && a.Timed == b.Timed && !a.Probe && !b.Probe && a.Guaranteed == b.Guaranteed &&
+			!a.OneZone && !b.OneZone && !a.SpreadZones && !b.SpreadZones && a.TimeSensitive == b.TimeSensitive && !a.Failing && !b.Failing && a.Guaranteed == b.Guaranteed &&
 			whole(a) && whole(b) && slices.Equal(a.Types, b.Types) && (a.Types == nil) == (b.Types == nil)
 	}
 	for _, j := range jobs {
@@ -155,26 +155,26 @@
 func (p *planner) wants(j *Job) int {
 	n := j.Remaining
 	if j.Gang {
-		if j.Scatter && j.Tasks > 1 && p.zones(j) < 2 {
+		if j.SpreadZones && j.Tasks > 1 && p.zones(j) < 2 {
 			return 0 // no machine makes it fit
 		}
-		if p.team[j.Team]+float64(n)*j.Need.CPUs > p.in.TeamMax[j.Team]+1e-6 {
+		if p.team[j.Team]+float64(n)*j.Need.CPUs > p.in.TeamQuota[j.Team]+1e-6 {
 			return 0
 		}
 		return n
 	}
 	if j.Deadline > 0 && !j.Guaranteed {
-		n = Pace(n, j.Estimate, time.Duration(j.Deadline-p.in.Now)*time.Millisecond)
+		n = Concurrency(n, j.Estimate, time.Duration(j.Deadline-p.in.Now)*time.Millisecond)
 	}
-	return min(n, int((p.in.TeamMax[j.Team]-p.team[j.Team]+1e-6)/j.Need.CPUs))
+	return min(n, int((p.in.TeamQuota[j.Team]-p.team[j.Team]+1e-6)/j.Need.CPUs))
 }
 
 // pace is the part of the time left in which arrays are to be complete.
 const pace = 0.85
 
-// Pace is how many of an array's tasks should run at a time to be complete with some
+// Concurrency is how many of an array's tasks should run at a time to be complete with some
 // of the time left; all, where there is too little.
-func Pace(tasks int, estimate, left time.Duration) int {
+func Concurrency(tasks int, estimate, left time.Duration) int {
 	rounds := math.Floor(left.Seconds() * pace / max(estimate.Seconds(), 1))
 	if rounds < 1 {
 		return tasks
@@ -187,7 +187,7 @@
 	in := map[string]bool{}
 	for name, t := range p.in.Types {
 		for _, z := range t.Zones {
-			if j.Allows(name, z, false) && j.Need.Fits(placement.Room(t)) {
+			if j.Allows(name, z, false) && j.Need.Fits(placement.CapacityOf(t)) {
 				in[z] = true
 			}
 		}
@@ -205,7 +205,7 @@
 			continue
 		}
 		k := counts[r.m.Zone]
-		for left := r.free; k.all < n && j.Need.Fits(left); left = left.Minus(j.Need) {
+		for left := r.free; k.all < n && j.Need.Fits(left); left = left.Sub(j.Need) {
 			k.all++
 			if r.block == j.Block {
 				k.own++
@@ -223,7 +223,7 @@
 
 // keeps tells whether a kind of machine is kept from an array for gangs.
 func (p *planner) keeps(j *Job, typ string, spot bool) bool {
-	return !j.Gang && p.in.Kept.Has(Kind{typ, spot}) && !j.NoChoice
+	return !j.Gang && p.in.GangKinds.Has(MachineKind{typ, spot}) && !j.GangMachinesOnly
 }
 
 // claim takes room for up to n tasks on machines that suit, and tells how many.
@@ -233,12 +233,12 @@
 		if got >= n {
 			break
 		}
-		if !j.Need.Fits(r.free) || r.kept && !j.Gang && !j.NoChoice || !suits(r) || !j.Allows(r.m.Type, r.m.Zone, r.m.Spot) {
+		if !j.Need.Fits(r.free) || r.kept && !j.Gang && !j.GangMachinesOnly || !suits(r) || !j.Allows(r.m.Type, r.m.Zone, r.m.Spot) {
 			continue
 		}
-		for got < n && r.tasks < placement.MaxTasks && j.Need.Fits(r.free) && j.ZoneAllows(r.m.Zone, j.Zones) {
-			j.Zones[r.m.Zone]++
-			r.free = r.free.Minus(j.Need)
+		for got < n && r.tasks < placement.MaxTasks && j.Need.Fits(r.free) && j.AllowsZone(r.m.Zone, j.TasksByZone) {
+			j.TasksByZone[r.m.Zone]++
+			r.free = r.free.Sub(j.Need)
 			r.used, r.block = true, j.Block
 			r.tasks++
 			if j.Gang {
--- a/internal/capacity/trend.go
+++ b/internal/capacity/trend.go
@@ -9,19 +9,19 @@
 	"lichenstair/internal/core"
 )
 
-// Level is an amount of capacity.
-type Level struct {
-	Kept float64 // for gangs, in machines of the kinds kept for them
-	Spot float64 // CPUs for arrays that may use spot machines
-	// Rate is how many such machines arriving gangs want, in a second.
-	Rate float64
-	// Short is how many more CPUs would have brought arrays in time.
-	Short float64
+// Demand is an amount of capacity.
+type Demand struct {
+	GangMachines float64 // for gangs, in machines of the kinds kept for them
+	SpotCPUs     float64 // CPUs for arrays that may use spot machines
+	// GangRate is how many such machines arriving gangs want, in a second.
+	GangRate float64
+	// MissingCPUs is how many more CPUs would have brought arrays in time.
+	MissingCPUs float64
 }
 
-// Trend is what was wanted lately: for gangs the rate at which they come, for spot
+// DemandTrend is what was wanted lately: for gangs the rate at which they come, for spot
 // machines, which cost little to keep, a mean over a longer time.
-type Trend struct {
+type DemandTrend struct {
 	sum   float64
 	share float64
 	short float64
@@ -56,17 +56,17 @@
 	fadeTime = 10 * time.Second
 )
 
-// Arrivals takes in the unfinished jobs: those seen for the first time count.
+// ObserveArrivals takes in the unfinished jobs: those seen for the first time count.
 // Of gangs, those for which machines are kept do.
-func (t *Trend) Arrivals(now core.Time, jobs []*Job, kept KeptKinds, types map[string]api.MachineType) {
+func (t *DemandTrend) ObserveArrivals(now core.Time, jobs []*Job, kept GangKinds, types map[string]api.MachineType) {
 	seen := map[core.JobID]bool{}
 	last := t.arrival
 	for _, j := range jobs {
 		seen[j.ID] = true
-		if t.seen[j.ID] || j.Announced {
+		if t.seen[j.ID] || j.HasDependencies {
 			continue // what was announced tells nothing of what may still arrive unannounced
 		}
-		if j.Gang && slices.ContainsFunc(Scarce(&j.Job, types), func(name string) bool { return kept.Has(Kind{name, false}) }) {
+		if j.Gang && slices.ContainsFunc(RestrictedTypes(&j.Job, types), func(name string) bool { return kept.Has(MachineKind{name, false}) }) {
 			t.rate += float64(j.Tasks) / rateTime.Seconds()
 			t.gangAt = now
 		}
@@ -87,19 +87,19 @@
 }
 
 // quiet tells whether arrivals seem to have ended.
-func (t *Trend) quiet(now core.Time) bool {
+func (t *DemandTrend) quiet(now core.Time) bool {
 	return now.Sub(t.arrival) > max(quietGaps*t.gap, quietTime)
 }
 
-// Note takes in what is wanted now.
-func (t *Trend) Note(now core.Time, want Level) {
+// Observe takes in what is wanted now.
+func (t *DemandTrend) Observe(now core.Time, want Demand) {
 	passed := now.Sub(t.at).Seconds()
 	t.at = now
 	f := math.Exp(-passed / meanTime.Seconds())
-	t.sum = t.sum*f + want.Spot*(1-f)
+	t.sum = t.sum*f + want.SpotCPUs*(1-f)
 	t.share = t.share*f + (1 - f)
 	f = math.Exp(-passed / shortTime.Seconds())
-	t.short = t.short*f + want.Short*(1-f)
+	t.short = t.short*f + want.MissingCPUs*(1-f)
 	t.rate *= math.Exp(-passed / rateTime.Seconds())
 	if t.rate > 0 && now.Sub(t.gangAt).Seconds() > max(quietGaps/t.rate, quietTime.Seconds()) {
 		t.rate *= math.Exp(-passed / fadeTime.Seconds())
@@ -111,11 +111,11 @@
 	}
 }
 
-// Keep tells how much to keep.
-func (t *Trend) Keep() Level {
-	l := Level{Rate: t.rate, Short: t.short}
+// Forecast tells how much to keep.
+func (t *DemandTrend) Forecast() Demand {
+	l := Demand{GangRate: t.rate, MissingCPUs: t.short}
 	if t.share > 0 {
-		l.Spot = t.sum/t.share + t.guaranteed*headroom
+		l.SpotCPUs = t.sum/t.share + t.guaranteed*headroom
 	}
 	return l
 }
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -27,7 +27,7 @@
 	Cloud   *cloud.Client
 	Workers *worker.Client
 	// Kept lists the kinds of machine that are always kept for gangs.
-	Kept func() capacity.KeptKinds
+	Kept func() capacity.GangKinds
 	// Isolated names the controller that should hold a block whose holder does not
 	// hear its machines.
 	Isolated func(block int) (core.Host, bool)
@@ -69,8 +69,8 @@
 	stable      map[core.Host]core.Time
 	notes       []note // of the transaction being composed
 	isolations  map[core.Tenure]isolation
-	trend       capacity.Trend
-	boots       capacity.Boots
+	trend       capacity.DemandTrend
+	boots       capacity.BootTimes
 	booting     map[core.MachineID]bool // not known to have come up yet
 	planAt      core.Time               // of the last plan
 	planDue     bool                    // the next one is on its way
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -24,7 +24,7 @@
 	plan := l.plan(edit, now, l.Loop.Wall())
 	changed := map[int]bool{} // blocks whose machines are written
 	l.assign(t, edit, plan.Assign, changed)
-	l.askBack(edit, plan.Ask, changed)
+	l.askBack(edit, plan.Drain, changed)
 	l.markReturned(edit, plan.Return)
 	for _, n := range core.Keys(changed) {
 		l.underBlock(t, n)
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -14,23 +14,23 @@
 
 // plan asks the capacity package what should be where.
 func (l *Leader) plan(edit *state.Edit, now core.Time, wall core.Wall) capacity.Plan {
-	in := capacity.Input{Now: wall, Types: l.priced(), Kept: l.Kept(), TeamMax: map[string]float64{}, Closed: l.closedOffers(now), Idle: l.Config.Operator.Idle}
+	in := capacity.Input{Now: wall, Types: l.priced(), GangKinds: l.Kept(), TeamQuota: map[string]float64{}, UnavailableOffers: l.closedOffers(now), IdleTimeout: l.Config.Operator.Idle}
 	for _, t := range l.Mirror.Teams(l.Config.Teams) {
-		in.TeamMax[t.Name] = t.CPUsMax
+		in.TeamQuota[t.Name] = t.CPUsMax
 	}
 	idle := l.Idle()
 	waiting := l.watchBoots(edit, now, wall, in.Types, idle)
 	doubtful, hopeless := l.judgeBoots(edit, now, &in, waiting)
 	in.Machines = append(l.pooledMachines(edit, now, doubtful), l.blockMachines(edit, idle, doubtful)...)
 	in.Jobs = l.unfinishedJobs(wall)
-	l.trend.Arrivals(now, slices.DeleteFunc(slices.Clone(in.Jobs), func(j *capacity.Job) bool { return j.Expected }), in.Kept, in.Types)
-	in.Keep = l.trend.Keep()
-	plan := capacity.Make(in)
+	l.trend.ObserveArrivals(now, slices.DeleteFunc(slices.Clone(in.Jobs), func(j *capacity.Job) bool { return j.ReadySoon }), in.GangKinds, in.Types)
+	in.Forecast = l.trend.Forecast()
+	plan := capacity.MakePlan(in)
 	for _, id := range hopeless {
 		l.note("machine has not come up; it is returned", "machine", id, "age", waiting[id].Age.String())
 	}
 	plan.Return = append(plan.Return, hopeless...)
-	l.trend.Note(now, plan.Want)
+	l.trend.Observe(now, plan.Demand)
 	return plan
 }
 
@@ -49,20 +49,20 @@
 
 // judgeBoots tells which machines should long have come up, and which of the pool never
 // will, and closes the offers of which too many are overdue.
-func (l *Leader) judgeBoots(edit *state.Edit, now core.Time, in *capacity.Input, waiting map[core.MachineID]capacity.Pending) (doubtful map[core.MachineID]bool, hopeless []core.MachineID) {
+func (l *Leader) judgeBoots(edit *state.Edit, now core.Time, in *capacity.Input, waiting map[core.MachineID]capacity.PendingMachine) (doubtful map[core.MachineID]bool, hopeless []core.MachineID) {
 	usual := func(typ string) time.Duration { return core.Seconds(in.Types[typ].BootS) }
 	doubtful = map[core.MachineID]bool{}
-	var pending []capacity.Pending
+	var pending []capacity.PendingMachine
 	for _, id := range core.Keys(waiting) {
 		boot := waiting[id]
 		pending = append(pending, boot)
-		doubtful[id] = l.boots.Doubtful(now, boot, usual(boot.Type))
-		if _, pooled := edit.Find(state.PoolInventory, id); pooled && l.boots.Hopeless(now, boot, usual(boot.Type)) {
+		doubtful[id] = l.boots.Overdue(now, boot, usual(boot.Type))
+		if _, pooled := edit.Find(state.PoolInventory, id); pooled && l.boots.TimedOut(now, boot, usual(boot.Type)) {
 			hopeless = append(hopeless, id)
 		}
 	}
-	for offer := range l.boots.Troubled(now, pending, usual) {
-		in.Closed[offer] = true
+	for offer := range l.boots.StalledOffers(now, pending, usual) {
+		in.UnavailableOffers[offer] = true
 	}
 	return doubtful, hopeless
 }
@@ -80,7 +80,7 @@
 			l.free[m.ID] = now
 		}
 		machine := l.describe(&m, capacity.NoBlock, doubtful)
-		machine.Free = now.Sub(l.free[m.ID])
+		machine.FreeFor = now.Sub(l.free[m.ID])
 		out = append(out, machine)
 	}
 	for id := range l.free {
@@ -104,7 +104,7 @@
 				continue
 			}
 			machine := l.describe(&m, n, doubtful)
-			machine.Asked, machine.Idle = m.Asked, idle[m.ID]
+			machine.Draining, machine.Idle = m.Asked, idle[m.ID]
 			out = append(out, machine)
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 func (l *Leader) describe(m *state.Machine, block int, doubtful map[core.MachineID]bool) *capacity.Machine {
-	return &capacity.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Block: block, Ready: l.ready(m), Doubtful: doubtful[m.ID]}
+	return &capacity.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Block: block, Ready: l.ready(m), BootOverdue: doubtful[m.ID]}
 }
 
 // unfinishedJobs describes the jobs that may run, and those that are expected to before
@@ -124,13 +124,13 @@
 			continue
 		}
 		if j := l.describeJob(id, e, wall, running); j != nil {
-			j.Probe = failing[id]
+			j.Failing = failing[id]
 			jobs = append(jobs, j)
 		}
 	}
 	sort.Slice(jobs, func(a, b int) bool {
-		if jobs[a].At != jobs[b].At {
-			return jobs[a].At < jobs[b].At
+		if jobs[a].ReadyAt != jobs[b].ReadyAt {
+			return jobs[a].ReadyAt < jobs[b].ReadyAt
 		}
 		return jobs[a].ID < jobs[b].ID
 	})
@@ -144,11 +144,11 @@
 	guarantees := capacity.NewGuarantees(l.Config.Teams)
 	for _, expected := range []bool{false, true} {
 		for _, j := range jobs {
-			if j.Expected != expected {
+			if j.ReadySoon != expected {
 				continue
 			}
-			j.Guaranteed = guarantees.Within(j.Team, j.Need.CPUs*float64(j.Remaining))
-			j.Timed = j.Timed || j.Guaranteed
+			j.Guaranteed = guarantees.AddJob(j.Team, j.Need.CPUs*float64(j.Remaining))
+			j.TimeSensitive = j.TimeSensitive || j.Guaranteed
 		}
 	}
 }
@@ -166,16 +166,16 @@
 		at = wall
 	}
 	j := &capacity.Job{
-		Job: placement.JobOf(id, at, e.Spec), Block: block, Remaining: e.Tasks - e.Done.Len(), Running: running[id],
-		Expected: expected, Announced: len(e.Spec.Dependencies) > 0,
+		Job: placement.NewJob(id, at, e.Spec), Block: block, Remaining: e.Tasks - e.Done.Len(), Running: running[id],
+		ReadySoon: expected, HasDependencies: len(e.Spec.Dependencies) > 0,
 	}
 	j.Overdue = capacity.Overdue(at, wall, j.Running > 0 || !e.Done.Empty())
 	j.Rank = max(j.Rank, e.Urgency.Rank)
-	j.Timed = e.Urgency.Due > 0 || capacity.Timed(l.Config.Aims, e.Spec)
+	j.TimeSensitive = e.Urgency.Due > 0 || capacity.TimeSensitive(l.Config.Aims, e.Spec)
 	if j.Running == 0 {
 		j.Starvation = capacity.StarvationAfter(time.Duration(wall-at) * time.Millisecond)
 	}
-	if due := capacity.Due(l.Config.Aims, e.Spec, e.At, at, e.Urgency.Due); len(due) > 0 {
+	if due := capacity.DueTimes(l.Config.Aims, e.Spec, e.At, at, e.Urgency.Due); len(due) > 0 {
 		j.Deadline = due[0]
 	}
 	return j
@@ -183,15 +183,15 @@
 
 // watchBoots follows which machines have not come up yet, and how long those took that
 // have.
-func (l *Leader) watchBoots(edit *state.Edit, now core.Time, wall core.Wall, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.Pending {
-	waiting := map[core.MachineID]capacity.Pending{}
+func (l *Leader) watchBoots(edit *state.Edit, now core.Time, wall core.Wall, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.PendingMachine {
+	waiting := map[core.MachineID]capacity.PendingMachine{}
 	look := func(m *state.Machine) {
 		age := time.Duration(wall-m.Since) * time.Millisecond
 		switch up := l.ready(m) || idle[m.ID]; {
 		case !up && m.Since > 0 && m.Fate == state.Free && !m.Lost:
-			waiting[m.ID] = capacity.Pending{Offer: capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, Age: age}
+			waiting[m.ID] = capacity.PendingMachine{Offer: capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, Age: age}
 		case up && l.booting[m.ID]:
-			l.boots.Came(now, m.Type, age, core.Seconds(types[m.Type].BootS))
+			l.boots.Record(now, m.Type, age, core.Seconds(types[m.Type].BootS))
 		}
 	}
 	for _, m := range edit.All(state.PoolInventory) {
--- a/internal/leader/plan_test.go
+++ b/internal/leader/plan_test.go
@@ -15,13 +15,13 @@
 func TestExpectedJobsTakeWhatTheGuaranteeLeaves(t *testing.T) {
 	l := &Leader{Env: Env{Config: &config.Config{Teams: []config.Team{{Name: "red", CPUs: 20}}}}}
 	job := func(id core.JobID, tasks int, expected bool) *capacity.Job {
-		return &capacity.Job{Job: placement.Job{ID: id, Team: "red", Need: placement.Need{CPUs: 1}}, Remaining: tasks, Expected: expected}
+		return &capacity.Job{Job: placement.Job{ID: id, Team: "red", Need: placement.Resources{CPUs: 1}}, Remaining: tasks, ReadySoon: expected}
 	}
 	jobs := []*capacity.Job{job("req-1", 8, true), job("req-2", 10, false), job("req-3", 5, false), job("req-4", 2, true)}
 	l.markGuaranteed(jobs)
 	for i, want := range []bool{false, true, true, false} {
-		if jobs[i].Guaranteed != want || jobs[i].Timed != want {
-			t.Errorf("%s: within the guarantee %v, has a time %v, want %v", jobs[i].ID, jobs[i].Guaranteed, jobs[i].Timed, want)
+		if jobs[i].Guaranteed != want || jobs[i].TimeSensitive != want {
+			t.Errorf("%s: within the guarantee %v, has a time %v, want %v", jobs[i].ID, jobs[i].Guaranteed, jobs[i].TimeSensitive, want)
 		}
 	}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -53,7 +53,7 @@
 	prober        *worker.Prober // asks the machines of misrouted reports whether they hear us
 	grants        map[int]grantSeen
 	cancellations []confirmedCancellation // confirmed here lately
-	shapes        capacity.Shapes
+	shapes        capacity.GangShapes
 	peers         map[core.Host]heard
 	broadcast     func([]byte)
 }
@@ -142,7 +142,7 @@
 func (n *Node) changed(t state.Touched) {
 	for _, id := range t.Jobs {
 		if e := n.mirror.Jobs[id]; e != nil && e.Spec != nil && n.mayRun(e) {
-			n.shapes.Note(n.loop.Now(), e.Spec)
+			n.shapes.Observe(n.loop.Now(), e.Spec)
 		}
 	}
 	n.follow()
@@ -194,8 +194,8 @@
 }
 
 // kept lists the kinds of machine that are kept for gangs even while none waits.
-func (n *Node) kept() capacity.KeptKinds {
-	return n.shapes.Kept(n.loop.Now(), n.cfg.Aims, n.types())
+func (n *Node) kept() capacity.GangKinds {
+	return n.shapes.GangKinds(n.loop.Now(), n.cfg.Aims, n.types())
 }
 
 func (n *Node) types() map[string]api.MachineType { return n.mirror.Types.Record }
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -133,12 +133,12 @@
 
 // impossible tells why a job can never run, or nothing.
 func (n *Node) impossible(j *api.Job) (why, field string) {
-	need := placement.Need{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
+	need := placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 	p := placement.Job{Types: j.Types}
 	fits := false
 	for name, t := range n.types() {
 		for _, zone := range t.Zones {
-			if (j.Zone == nil || *j.Zone == zone) && p.Allows(name, zone, false) && need.Fits(placement.Room(t)) {
+			if (j.Zone == nil || *j.Zone == zone) && p.Allows(name, zone, false) && need.Fits(placement.CapacityOf(t)) {
 				fits = true
 			}
 		}
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -7,14 +7,14 @@
 // beside returns what a later job may use of a machine without delaying the
 // reservation: all that is free if it ends in time, else what the head leaves.
 func (p *pass) beside(j *Job) freeOf {
-	return func(m *Machine) Need {
+	return func(m *Machine) Resources {
 		free := m.Free()
-		hold, held := p.out.Holds[m.ID]
+		hold, held := p.out.ReservedResources[m.ID]
 		if !held || p.now.Add(j.Estimate) <= p.out.ReservedAt {
 			return free
 		}
-		at := m.freeAt(p.out.ReservedAt).Minus(hold)
-		return free.Least(at)
+		at := m.freeAt(p.out.ReservedAt).Sub(hold)
+		return free.Min(at)
 	}
 }
 
@@ -58,7 +58,7 @@
 				k.stale = true
 			case k.m != nil:
 				j := k.jobs[0]
-				if j.takes(m, p.beside(j)(m)) && j.ZoneAllows(m.Zone, j.Zones) {
+				if j.takes(m, p.beside(j)(m)) && j.AllowsZone(m.Zone, j.TasksByZone) {
 					// Equal ones are taken in the order of the machines, as a full look does.
 					if r := rate(j, m); r.better(k.r) || !k.r.better(r) && m.ID < k.m.ID {
 						k.m, k.r = m, r
@@ -84,7 +84,7 @@
 // kindKey is what makes jobs alike to machines. Allowed types are joined.
 type kindKey struct {
 	team, image, zone, types string
-	need                     Need
+	need                     Resources
 	spot, noChoice, in       bool
 	starvation               Starvation
 	own                      int // set for jobs that are like no others
@@ -97,8 +97,8 @@
 		if j.Gang || j.Waiting <= 0 {
 			continue
 		}
-		key := kindKey{team: j.Team, image: j.Image, zone: j.Zone, need: j.Need, spot: j.Spot, noChoice: j.NoChoice, starvation: j.Starvation, in: p.now.Add(j.Estimate) <= p.out.ReservedAt}
-		if j.OneZone || j.Scatter || len(j.Avoid) > 0 {
+		key := kindKey{team: j.Team, image: j.Image, zone: j.Zone, need: j.Need, spot: j.Spot, noChoice: j.GangMachinesOnly, starvation: j.Starvation, in: p.now.Add(j.Estimate) <= p.out.ReservedAt}
+		if j.OneZone || j.SpreadZones || len(j.ExcludedMachines) > 0 {
 			key.own = i + 1
 		}
 		if j.Types != nil {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -15,13 +15,13 @@
 	build := func() ([]*Machine, []*Job, map[string]*Team) {
 		r := rand.New(rand.NewPCG(1, 1))
 		machines, jobs := benchMachines(r, 88, 0.5), benchArrays(r, 10, 850)
-		return machines, jobs, map[string]*Team{"red": {Max: Need{CPUs: 5000}}}
+		return machines, jobs, map[string]*Team{"red": {Quota: Resources{CPUs: 5000}}}
 	}
 	for b.Loop() {
 		b.StopTimer()
 		machines, jobs, teams := build()
 		b.StartTimer()
-		Pass(0, machines, jobs, teams, Policy{})
+		Schedule(0, machines, jobs, teams, Policy{})
 	}
 }
 
@@ -37,10 +37,10 @@
 				b.StopTimer()
 				r := rand.New(rand.NewPCG(1, 1))
 				machines, jobs := benchMachines(r, 470, c.used), benchArrays(r, 40, 650)
-				jobs = append(jobs, &Job{ID: "gang", Team: "red", Rank: 2, At: 1, Need: Need{CPUs: 60, MemoryGB: 100}, Gang: true, OneZone: true, Tasks: 3, Waiting: 3, Estimate: time.Minute})
-				teams := map[string]*Team{"red": {Max: Need{CPUs: 50000}}}
+				jobs = append(jobs, &Job{ID: "gang", Team: "red", Rank: 2, ReadyAt: 1, Need: Resources{CPUs: 60, MemoryGB: 100}, Gang: true, OneZone: true, Tasks: 3, Waiting: 3, Estimate: time.Minute})
+				teams := map[string]*Team{"red": {Quota: Resources{CPUs: 50000}}}
 				b.StartTimer()
-				Pass(0, machines, jobs, teams, Policy{})
+				Schedule(0, machines, jobs, teams, Policy{})
 			}
 		})
 	}
@@ -48,12 +48,12 @@
 
 // benchMachines makes machines of three kinds of which a share is used.
 func benchMachines(r *rand.Rand, n int, used float64) (machines []*Machine) {
-	one := Need{CPUs: 1, MemoryGB: 2}
+	one := Resources{CPUs: 1, MemoryGB: 2}
 	for i := range n {
 		m := machineOf(fmt.Sprintf("n-%03d", i), []float64{4, 32, 64}[i%8/6], 128)
 		m.MaxTasks = MaxTasks
 		for range int(m.Total.CPUs * used) {
-			m.Booked = m.Booked.Plus(one)
+			m.Booked = m.Booked.Add(one)
 			m.Releases = append(m.Releases, Release{core.Time(r.Int64N(int64(time.Minute))), one})
 		}
 		machines = append(machines, m)
@@ -65,7 +65,7 @@
 func benchArrays(r *rand.Rand, n, more int) (jobs []*Job) {
 	for i := range n {
 		tasks := 50 + r.IntN(more)
-		jobs = append(jobs, &Job{ID: core.JobID(fmt.Sprint("req-", i)), Team: "red", At: core.Wall(i), Need: Need{CPUs: 1, MemoryGB: 2}, Tasks: tasks, Waiting: tasks, Estimate: 30 * time.Second, Image: fmt.Sprint(i)})
+		jobs = append(jobs, &Job{ID: core.JobID(fmt.Sprint("req-", i)), Team: "red", ReadyAt: core.Wall(i), Need: Resources{CPUs: 1, MemoryGB: 2}, Tasks: tasks, Waiting: tasks, Estimate: 30 * time.Second, Image: fmt.Sprint(i)})
 	}
 	return jobs
 }
@@ -79,12 +79,12 @@
 		machines, jobs := benchMachines(r, 130, 0.9), benchArrays(r, 10, 300)
 		for i := range 2000 {
 			jobs = append(jobs, &Job{
-				ID: core.JobID(fmt.Sprint("single-", i)), Team: "red", At: core.Wall(100 + i), Need: Need{CPUs: 0.25, MemoryGB: 0.9}, Tasks: 1, Waiting: 1,
+				ID: core.JobID(fmt.Sprint("single-", i)), Team: "red", ReadyAt: core.Wall(100 + i), Need: Resources{CPUs: 0.25, MemoryGB: 0.9}, Tasks: 1, Waiting: 1,
 				Estimate: time.Duration(100+r.IntN(100)) * time.Second, Image: "single",
 			})
 		}
-		teams := map[string]*Team{"red": {Max: Need{CPUs: 5000}}}
+		teams := map[string]*Team{"red": {Quota: Resources{CPUs: 5000}}}
 		b.StartTimer()
-		Pass(0, machines, jobs, teams, Policy{})
+		Schedule(0, machines, jobs, teams, Policy{})
 	}
 }
--- a/internal/placement/defer.go
+++ b/internal/placement/defer.go
@@ -59,7 +59,7 @@
 			}
 		}
 		for _, j := range dropped {
-			j.Late = stage + 1
+			j.MissedDueTimes = stage + 1
 		}
 		kept, left = append(kept, taken...), dropped
 	}
--- a/internal/placement/defer_test.go
+++ b/internal/placement/defer_test.go
@@ -46,7 +46,7 @@
 		Defer(0, cpus, 0, jobs)
 		chosen, n := 0, 0
 		for i, j := range jobs {
-			if j.Late == 0 {
+			if j.MissedDueTimes == 0 {
 				chosen |= 1 << i
 				n++
 			}
@@ -60,8 +60,8 @@
 // Whoever has waited long without having begun goes first, however late it is:
 // the largest jobs was deferred behind a stream of small ones for 15 minutes.
 func TestOverdueGoesFirst(t *testing.T) {
-	large := &Job{ID: "large", At: 5, Late: 2, Overdue: true}
-	jobs := []*Job{{ID: "small", At: 1, Guaranteed: true}, large, {ID: "high", At: 9, Rank: 2}}
+	large := &Job{ID: "large", ReadyAt: 5, MissedDueTimes: 2, Overdue: true}
+	jobs := []*Job{{ID: "small", ReadyAt: 1, Guaranteed: true}, large, {ID: "high", ReadyAt: 9, Rank: 2}}
 	Sort(jobs)
 	if jobs[0].ID != "high" || jobs[1] != large {
 		t.Fatal(jobs[0].ID, jobs[1].ID)
@@ -93,7 +93,7 @@
 		make := func(load float64) (jobs []*Job) {
 			for i := range 12 {
 				jobs = append(jobs, &Job{
-					ID: core.JobID(rune('a' + i)), At: core.Wall(i + 1), Guaranteed: i < 4, Estimate: time.Millisecond,
+					ID: core.JobID(rune('a' + i)), ReadyAt: core.Wall(i + 1), Guaranteed: i < 4, Estimate: time.Millisecond,
 					Timing: Timing{Due: []core.Wall{core.Wall(60_000 + r.IntN(120_000))}, Work: load * float64(1+r.IntN(200))},
 				})
 			}
@@ -103,7 +103,7 @@
 		OrderByDue(0, cpus, 0, calm)
 		Sort(calm)
 		for i, j := range calm {
-			if j.At != core.Wall(i+1) || j.Turn != 0 {
+			if j.ReadyAt != core.Wall(i+1) || j.QueueTime != 0 {
 				t.Fatalf("seed %d: the order changed though all have time", seed)
 			}
 		}
--- a/internal/placement/dueorder.go
+++ b/internal/placement/dueorder.go
@@ -25,7 +25,7 @@
 	}
 	byLate := map[int][]*Job{}
 	for _, j := range jobs {
-		byLate[j.Late] = append(byLate[j.Late], j)
+		byLate[j.MissedDueTimes] = append(byLate[j.MissedDueTimes], j)
 	}
 	for _, late := range core.Keys(byLate) {
 		group := byLate[late]
@@ -37,7 +37,7 @@
 		due := func(j *Job) core.Wall { return j.Timing.Due[min(late, len(j.Timing.Due)-1)] }
 		slices.SortStableFunc(group, func(a, b *Job) int { return cmp.Compare(due(a), due(b)) })
 		for i, j := range group {
-			j.Guaranteed, j.Turn = places[i].guaranteed, places[i].at
+			j.Guaranteed, j.QueueTime = places[i].guaranteed, places[i].at
 		}
 	}
 }
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -36,12 +36,12 @@
 func (p *pass) members(machines []*Machine, j *Job, free freeOf, zone string) []*Machine {
 	type room struct {
 		m    *Machine
-		left Need
+		left Resources
 		r    rating
 	}
 	var rooms []room
 	for _, m := range machines {
-		if zone != "" && m.Zone != zone || !j.Allows(m.Type, m.Zone, m.Spot) || j.Avoid[m.ID] || !j.gangMayUse(m) {
+		if zone != "" && m.Zone != zone || !j.Allows(m.Type, m.Zone, m.Spot) || j.ExcludedMachines[m.ID] || !j.gangMayUse(m) {
 			continue
 		}
 		if f := free(m); j.Need.Fits(f) {
@@ -50,15 +50,15 @@
 	}
 	sort.SliceStable(rooms, func(a, b int) bool { return rooms[a].r.better(rooms[b].r) })
 	zones := map[string]int{}
-	for z, n := range j.Zones {
+	for z, n := range j.TasksByZone {
 		zones[z] = n
 	}
 	var picks []*Machine
 	for i := range rooms {
 		n := 1
-		for len(picks) < j.Waiting && !rooms[i].m.full(n) && j.Need.Fits(rooms[i].left) && j.ZoneAllows(rooms[i].m.Zone, zones) {
+		for len(picks) < j.Waiting && !rooms[i].m.full(n) && j.Need.Fits(rooms[i].left) && j.AllowsZone(rooms[i].m.Zone, zones) {
 			n++
-			rooms[i].left = rooms[i].left.Minus(j.Need)
+			rooms[i].left = rooms[i].left.Sub(j.Need)
 			zones[rooms[i].m.Zone]++
 			picks = append(picks, rooms[i].m)
 		}
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -26,54 +26,54 @@
 
 // Job is a job with waiting tasks.
 type Job struct {
-	ID       core.JobID
-	Team     string
-	Rank     int // higher goes first
-	At       core.Wall
-	Need     Need
-	Gang     bool
-	Tasks    int // all tasks of the job
-	Waiting  int // tasks that wait
-	Types    []string
-	Zone     string
-	OneZone  bool
-	Scatter  bool
-	Spot     bool
-	Image    string
-	Estimate time.Duration
-	// Zones counts the job's tasks that are on machines, by zone.
-	Zones map[string]int
-	// Avoid names machines on which the job must not be tried for now.
-	Avoid map[core.MachineID]bool
-	// NoChoice: the job's tasks fit only on machines that are kept for gangs.
-	NoChoice bool
-	// Late counts the aims on the job's time that it misses or gives way in.
-	Late int
+	ID          core.JobID
+	Team        string
+	Rank        int // higher goes first
+	ReadyAt     core.Wall
+	Need        Resources
+	Gang        bool
+	Tasks       int // all tasks of the job
+	Waiting     int // tasks that wait
+	Types       []string
+	Zone        string
+	OneZone     bool
+	SpreadZones bool
+	Spot        bool
+	Image       string
+	Estimate    time.Duration
+	// TasksByZone counts the job's tasks that are on machines, by zone.
+	TasksByZone map[string]int
+	// ExcludedMachines names machines on which the job must not be tried for now.
+	ExcludedMachines map[core.MachineID]bool
+	// GangMachinesOnly: the job's tasks fit only on machines that are kept for gangs.
+	GangMachinesOnly bool
+	// MissedDueTimes counts the aims on the job's time that it misses or gives way in.
+	MissedDueTimes int
 	// Timing is set for arrays that have a deadline.
 	Timing Timing
-	// Timed: its users have stated by when it should begin or be complete, or it is
+	// TimeSensitive: its users have stated by when it should begin or be complete, or it is
 	// within a guarantee.
-	Timed bool
+	TimeSensitive bool
 	// Overdue: the job has waited so long without having begun that its start
 	// goes before all else of its rank.
 	Overdue bool
 	// Starvation tells how far its wait with nothing running has gone.
 	Starvation Starvation
-	// Probe: the job has only failed so far. It takes room that is free, and holds
+	// Failing: the job has only failed so far. It takes room that is free, and holds
 	// none.
-	Probe bool
+	Failing bool
 	// Guaranteed: the job fits into what its team is guaranteed.
 	Guaranteed bool
-	// Turn is the job's place in line, if it is not that of its age (0: it is).
-	Turn core.Wall
+	// QueueTime is the job's place in line, if it is not that of its age (0: it is).
+	QueueTime core.Wall
 }
 
-// Idle tells whether it is idle-time work: of the lowest rank, and nobody has stated a
+// Opportunistic tells whether it is idle-time work: of the lowest rank, and nobody has stated a
 // time for it.
-func (j *Job) Idle() bool { return !j.Timed && j.Rank == Rank(api.RankBestEffort) }
+func (j *Job) Opportunistic() bool { return !j.TimeSensitive && j.Rank == Rank(api.RankBestEffort) }
 
 // turn is the job's place in line among those that are equal else.
-func (j *Job) turn() core.Wall { return cmp.Or(j.Turn, j.At) }
+func (j *Job) turn() core.Wall { return cmp.Or(j.QueueTime, j.ReadyAt) }
 
 // inLine orders jobs that are equal in rank and timing: work within a guarantee
 // before borrowed, then the oldest first.
@@ -87,12 +87,12 @@
 	return cmp.Or(cmp.Compare(a.turn(), b.turn()), cmp.Compare(a.ID, b.ID))
 }
 
-// JobOf describes a job from its specification; what has happened to it so far
+// NewJob describes a job from its specification; what has happened to it so far
 // is for the caller to add.
-func JobOf(id core.JobID, at core.Wall, spec *api.Job) Job {
+func NewJob(id core.JobID, at core.Wall, spec *api.Job) Job {
 	j := Job{
-		ID: id, Team: spec.Team, Rank: Rank(spec.Rank), At: at, Need: Need{spec.CPUs, spec.GPUs, spec.MemoryGB},
-		Gang: spec.Form == api.FormGang, Tasks: spec.Tasks, Types: spec.Types, OneZone: spec.OneZone, Scatter: spec.Scatter,
+		ID: id, Team: spec.Team, Rank: Rank(spec.Rank), ReadyAt: at, Need: Resources{spec.CPUs, spec.GPUs, spec.MemoryGB},
+		Gang: spec.Form == api.FormGang, Tasks: spec.Tasks, Types: spec.Types, OneZone: spec.OneZone, SpreadZones: spec.Scatter,
 		Spot: spec.Spot, Image: spec.Image, Estimate: core.Seconds(spec.EstimateS),
 	}
 	if spec.Zone != nil {
@@ -104,13 +104,13 @@
 // Placeable tells whether all tasks of the job could be on machines at the same time, as
 // far as zones go: those that have to be spread need two zones.
 func (j *Job) Placeable(types map[string]api.MachineType) bool {
-	if !j.Scatter || j.Tasks < 2 {
+	if !j.SpreadZones || j.Tasks < 2 {
 		return true
 	}
 	zones := map[string]bool{}
 	for name, t := range types {
 		for _, zone := range t.Zones {
-			if j.Need.Fits(Room(t)) && j.Allows(name, zone, false) {
+			if j.Need.Fits(CapacityOf(t)) && j.Allows(name, zone, false) {
 				zones[zone] = true
 			}
 		}
@@ -148,10 +148,10 @@
 			return x.Overdue
 		case x.goesFirst() != y.goesFirst():
 			return x.goesFirst()
-		case x.Late != y.Late:
-			return x.Late < y.Late
-		case x.Timed != y.Timed:
-			return x.Timed
+		case x.MissedDueTimes != y.MissedDueTimes:
+			return x.MissedDueTimes < y.MissedDueTimes
+		case x.TimeSensitive != y.TimeSensitive:
+			return x.TimeSensitive
 		}
 		return inLine(x, y) < 0
 	})
@@ -174,8 +174,8 @@
 	return false
 }
 
-// ZoneAllows tells whether one more task may go to a zone.
-func (j *Job) ZoneAllows(zone string, zones map[string]int) bool {
+// AllowsZone tells whether one more task may go to a zone.
+func (j *Job) AllowsZone(zone string, zones map[string]int) bool {
 	if j.OneZone {
 		for z, n := range zones {
 			if n > 0 && z != zone {
@@ -183,7 +183,7 @@
 			}
 		}
 	}
-	if j.Scatter && zones[zone]+1 > (j.Tasks+1)/2 {
+	if j.SpreadZones && zones[zone]+1 > (j.Tasks+1)/2 {
 		return false
 	}
 	return true
@@ -202,23 +202,23 @@
 
 // takes tells whether one more task of an array could be on a machine, its zones
 // aside.
-func (j *Job) takes(m *Machine, free Need) bool {
-	return !m.full(1) && j.mayUse(m) && j.Need.Fits(free) && j.Allows(m.Type, m.Zone, m.Spot) && !j.Avoid[m.ID]
+func (j *Job) takes(m *Machine, free Resources) bool {
+	return !m.full(1) && j.mayUse(m) && j.Need.Fits(free) && j.Allows(m.Type, m.Zone, m.Spot) && !j.ExcludedMachines[m.ID]
 }
 
 // mayUse tells whether an array may use a machine in spite of what the machine is
 // reserved for.
 func (j *Job) mayUse(m *Machine) bool {
-	if j.Starvation == Starved && j.Need.Fits(m.LastingRoom) {
+	if j.Starvation == Starved && j.Need.Fits(m.RecentMinFree) {
 		return true
 	}
-	if m.Asked {
+	if m.Draining {
 		return false
 	}
-	return !m.Kept || j.NoChoice || j.Starvation != NotStarving && m.sparesFor(j)
+	return !m.GangReserved || j.GangMachinesOnly || j.Starvation != NotStarving && m.sparesFor(j)
 }
 
 // gangMayUse is mayUse for a gang: machines are kept for gangs.
 func (j *Job) gangMayUse(m *Machine) bool {
-	return !m.Asked || j.Starvation == Starved && j.Need.Fits(m.LastingRoom)
+	return !m.Draining || j.Starvation == Starved && j.Need.Fits(m.RecentMinFree)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -20,8 +20,8 @@
 
 // Release is an amount that is expected to become free.
 type Release struct {
-	At   core.Time
-	Need Need
+	At        core.Time
+	Resources Resources
 }
 
 // Machine is a machine on which tasks can be started.
@@ -30,24 +30,24 @@
 	Type     string
 	Zone     string
 	Spot     bool
-	Total    Need
-	Booked   Need
+	Total    Resources
+	Booked   Resources
 	Releases []Release
 	Images   map[string]bool
 	// Tasks counts what is on the machine, MaxTasks bounds it (0: no bound).
 	Tasks    int
 	MaxTasks int
-	// Kept: the machine is kept for gangs, which do not fit elsewhere.
-	Kept bool
-	// KeptFor is what the largest task of those gangs needs, and ByArrays what is booked
+	// GangReserved: the machine is kept for gangs, which do not fit elsewhere.
+	GangReserved bool
+	// GangTaskSize is what the largest task of those gangs needs, and BookedByArrays what is booked
 	// by tasks of arrays.
-	KeptFor, ByArrays Need
-	// LastingRoom is what has been free on it for a while.
-	LastingRoom Need
+	GangTaskSize, BookedByArrays Resources
+	// RecentMinFree is what has been free on it for a while.
+	RecentMinFree Resources
 	// BusyFor is how long what runs on it now will last by estimate.
 	BusyFor time.Duration
-	// Asked: the machine is asked back and goes once it is empty.
-	Asked bool
+	// Draining: the machine is asked back and goes once it is empty.
+	Draining bool
 	// Unreliable: the machine has failed tasks lately; it is taken last.
 	Unreliable bool
 }
@@ -59,25 +59,25 @@
 // machine is kept: it leaves them room, and has ended by the time at which the machine
 // could go to another block that has such a gang.
 func (m *Machine) sparesFor(j *Job) bool {
-	return j.Estimate <= m.BusyFor && j.Need.Plus(m.ByArrays).Plus(m.KeptFor).Fits(m.Total)
+	return j.Estimate <= m.BusyFor && j.Need.Add(m.BookedByArrays).Add(m.GangTaskSize).Fits(m.Total)
 }
 
 // Free returns what is not booked.
-func (m *Machine) Free() Need { return m.Total.Minus(m.Booked) }
+func (m *Machine) Free() Resources { return m.Total.Sub(m.Booked) }
 
 // Team is what a team uses and may use.
 type Team struct {
-	Used, Max Need
+	Used, Quota Resources
 	// next was skipped because of the limit. What the team has left is for that job;
 	// later ones must not take it away bit by bit.
 	next *Job
 }
 
 // Allows tells whether the team's limit leaves room for a need.
-func (t *Team) Allows(need Need) bool { return t.Used.Plus(need).FitsCounts(t.Max) }
+func (t *Team) Allows(need Resources) bool { return t.Used.Add(need).FitsQuota(t.Quota) }
 
-// Holds tells whether what the team has left is not for a job, since a larger one is next.
-func (t *Team) Holds(j *Job) bool { return t.next != nil && t.next != j && !j.passes(t.next) }
+// WithholdsFrom tells whether what the team has left is not for a job, since a larger one is next.
+func (t *Team) WithholdsFrom(j *Job) bool { return t.next != nil && t.next != j && !j.passes(t.next) }
 
 // Start is a task of a job to be started on a machine.
 type Start struct {
@@ -88,10 +88,10 @@
 // Result is what a pass decided.
 type Result struct {
 	Starts []Start
-	// Reserved is the job that holds the reservation, if any.
-	Reserved   core.JobID
-	ReservedAt core.Time
-	Holds      map[core.MachineID]Need
+	// ReservedJob is the job that holds the reservation, if any.
+	ReservedJob       core.JobID
+	ReservedAt        core.Time
+	ReservedResources map[core.MachineID]Resources
 }
 
 // Policy chooses between the ordinary path and what it is compared with.
@@ -117,7 +117,7 @@
 	}
 	least := jobs[0].Need
 	for _, j := range jobs {
-		least = least.Least(j.Need)
+		least = least.Min(j.Need)
 	}
 	for _, m := range p.machines {
 		if !m.full(1) && least.Fits(m.Free()) {
@@ -126,14 +126,14 @@
 	}
 }
 
-// Pass decides what can start now. It changes machines, jobs and teams as if
+// Schedule decides what can start now. It changes machines, jobs and teams as if
 // the tasks had been started.
-func Pass(now core.Time, machines []*Machine, jobs []*Job, teams map[string]*Team, policy Policy) Result {
+func Schedule(now core.Time, machines []*Machine, jobs []*Job, teams map[string]*Team, policy Policy) Result {
 	p := &pass{now: now, policy: policy, machines: machines, teams: teams}
 	Sort(jobs)
 	p.findOpen(jobs)
 	rest := jobs
-	for len(rest) > 0 && p.out.Reserved == "" {
+	for len(rest) > 0 && p.out.ReservedJob == "" {
 		p.head(rest[0])
 		rest = rest[1:]
 	}
@@ -158,7 +158,7 @@
 			return
 		}
 	}
-	if !p.policy.NoReservation && !j.Probe {
+	if !p.policy.NoReservation && !j.Failing {
 		p.reserve(j)
 	}
 }
@@ -167,7 +167,7 @@
 // machines have room. It tells false if the team's limit was met first.
 func (p *pass) fill(j *Job) bool {
 	var line *ranking
-	if !j.OneZone && !j.Scatter && !p.policy.FirstFit {
+	if !j.OneZone && !j.SpreadZones && !p.policy.FirstFit {
 		line = p.rank(j)
 	}
 	for j.Waiting > 0 {
@@ -193,10 +193,10 @@
 	if t == nil {
 		return false
 	}
-	if t.Holds(j) {
+	if t.WithholdsFrom(j) {
 		return false
 	}
-	if !t.Allows(j.Need.Times(float64(tasks))) {
+	if !t.Allows(j.Need.Scale(float64(tasks))) {
 		if t.next == nil {
 			t.next = j
 		}
@@ -206,33 +206,33 @@
 }
 
 func (p *pass) start(j *Job, m *Machine) {
-	m.Booked = m.Booked.Plus(j.Need)
+	m.Booked = m.Booked.Add(j.Need)
 	if !j.Gang {
-		m.ByArrays = m.ByArrays.Plus(j.Need)
+		m.BookedByArrays = m.BookedByArrays.Add(j.Need)
 	}
 	m.Tasks++
 	m.Releases = append(m.Releases, Release{p.now.Add(j.Estimate), j.Need})
-	if j.Zones == nil {
-		j.Zones = map[string]int{}
+	if j.TasksByZone == nil {
+		j.TasksByZone = map[string]int{}
 	}
-	j.Zones[m.Zone]++
+	j.TasksByZone[m.Zone]++
 	j.Waiting--
 	if t := p.teams[j.Team]; t != nil {
-		t.Used = t.Used.Plus(j.Need)
+		t.Used = t.Used.Add(j.Need)
 	}
 	p.out.Starts = append(p.out.Starts, Start{j.ID, m.ID})
 }
 
-type freeOf func(m *Machine) Need
+type freeOf func(m *Machine) Resources
 
-func (p *pass) free(m *Machine) Need { return m.Free() }
+func (p *pass) free(m *Machine) Resources { return m.Free() }
 
 // freeAt estimates what is free at a time.
-func (m *Machine) freeAt(at core.Time) Need {
+func (m *Machine) freeAt(at core.Time) Resources {
 	f := m.Free()
 	for _, r := range m.Releases {
 		if r.At <= at {
-			f = f.Plus(r.Need)
+			f = f.Add(r.Resources)
 		}
 	}
 	return f
@@ -256,7 +256,7 @@
 	slices.Sort(times)
 	times = slices.Compact(times)
 	at := func(i int) []*Machine {
-		free := func(m *Machine) Need { return m.freeAt(times[i]) }
+		free := func(m *Machine) Resources { return m.freeAt(times[i]) }
 		if j.Gang {
 			return p.gang(machines, j, free)
 		}
@@ -269,8 +269,8 @@
 	if i == len(times) {
 		return
 	}
-	p.out.Reserved, p.out.ReservedAt, p.out.Holds = j.ID, times[i], map[core.MachineID]Need{}
+	p.out.ReservedJob, p.out.ReservedAt, p.out.ReservedResources = j.ID, times[i], map[core.MachineID]Resources{}
 	for _, m := range at(i) {
-		p.out.Holds[m.ID] = p.out.Holds[m.ID].Plus(j.Need)
+		p.out.ReservedResources[m.ID] = p.out.ReservedResources[m.ID].Add(j.Need)
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -11,13 +11,13 @@
 )
 
 func machineOf(id string, cpus, mem float64) *Machine {
-	return &Machine{ID: core.MachineID(id), Type: "t", Zone: "a", Total: Need{CPUs: cpus, MemoryGB: mem}, Images: map[string]bool{}}
+	return &Machine{ID: core.MachineID(id), Type: "t", Zone: "a", Total: Resources{CPUs: cpus, MemoryGB: mem}, Images: map[string]bool{}}
 }
 
 // The score is worked out by hand: 4 of 8 CPUs and 8 of 32 GB give fractions
 // 0.5 and 0.25, so (0.5/0.375 - 1) * (1 - 0.375).
 func TestScore(t *testing.T) {
-	s, mean := Score(machineOf("m", 8, 32), Need{CPUs: 4, MemoryGB: 8})
+	s, mean := Score(machineOf("m", 8, 32), Resources{CPUs: 4, MemoryGB: 8})
 	if math.Abs(s-(0.5/0.375-1)*0.625) > 1e-12 || math.Abs(mean-0.375) > 1e-12 {
 		t.Fatal(s, mean)
 	}
@@ -26,16 +26,16 @@
 // The head job reserves the machine that is freed soonest; a later job may use
 // it only if it ends in time, or if the head still fits beside it.
 func TestReservation(t *testing.T) {
-	teams := map[string]*Team{"red": {Max: Need{CPUs: 1000}}}
+	teams := map[string]*Team{"red": {Quota: Resources{CPUs: 1000}}}
 	m := machineOf("m", 8, 64)
-	m.Booked = Need{CPUs: 4, MemoryGB: 4}
-	m.Releases = []Release{{core.Time(20 * time.Second), Need{CPUs: 4, MemoryGB: 4}}}
-	head := &Job{ID: "head", Team: "red", At: 1, Need: Need{CPUs: 7, MemoryGB: 4}, Tasks: 1, Waiting: 1, Estimate: time.Minute}
-	long := &Job{ID: "long", Team: "red", At: 2, Need: Need{CPUs: 2, MemoryGB: 1}, Tasks: 1, Waiting: 1, Estimate: time.Minute}
-	short := &Job{ID: "short", Team: "red", At: 3, Need: Need{CPUs: 2, MemoryGB: 1}, Tasks: 1, Waiting: 1, Estimate: 10 * time.Second}
-	beside := &Job{ID: "beside", Team: "red", At: 4, Need: Need{CPUs: 1, MemoryGB: 1}, Tasks: 1, Waiting: 1, Estimate: time.Minute}
-	r := Pass(0, []*Machine{m}, []*Job{short, beside, long, head}, teams, Policy{})
-	if r.Reserved != "head" || r.ReservedAt != core.Time(20*time.Second) {
+	m.Booked = Resources{CPUs: 4, MemoryGB: 4}
+	m.Releases = []Release{{core.Time(20 * time.Second), Resources{CPUs: 4, MemoryGB: 4}}}
+	head := &Job{ID: "head", Team: "red", ReadyAt: 1, Need: Resources{CPUs: 7, MemoryGB: 4}, Tasks: 1, Waiting: 1, Estimate: time.Minute}
+	long := &Job{ID: "long", Team: "red", ReadyAt: 2, Need: Resources{CPUs: 2, MemoryGB: 1}, Tasks: 1, Waiting: 1, Estimate: time.Minute}
+	short := &Job{ID: "short", Team: "red", ReadyAt: 3, Need: Resources{CPUs: 2, MemoryGB: 1}, Tasks: 1, Waiting: 1, Estimate: 10 * time.Second}
+	beside := &Job{ID: "beside", Team: "red", ReadyAt: 4, Need: Resources{CPUs: 1, MemoryGB: 1}, Tasks: 1, Waiting: 1, Estimate: time.Minute}
+	r := Schedule(0, []*Machine{m}, []*Job{short, beside, long, head}, teams, Policy{})
+	if r.ReservedJob != "head" || r.ReservedAt != core.Time(20*time.Second) {
 		t.Fatalf("%+v", r)
 	}
 	got := fmt.Sprint(r.Starts)
@@ -47,16 +47,16 @@
 // A gang that its team's limit keeps waiting must not see smaller jobs of the
 // same team take up, one by one, what becomes free below the limit.
 func TestTeamLimitIsKeptForTheHead(t *testing.T) {
-	teams := map[string]*Team{"red": {Used: Need{CPUs: 80}, Max: Need{CPUs: 100}}, "blue": {Max: Need{CPUs: 100}}}
-	gang := &Job{ID: "gang", Team: "red", Rank: 2, Need: Need{CPUs: 30}, Gang: true, Tasks: 1, Waiting: 1}
-	small := &Job{ID: "small", Team: "red", Rank: 1, Need: Need{CPUs: 1}, Tasks: 30, Waiting: 30}
-	other := &Job{ID: "other", Team: "blue", Rank: 1, Need: Need{CPUs: 1}, Tasks: 5, Waiting: 5}
-	Pass(0, []*Machine{machineOf("m", 64, 64)}, []*Job{gang, small, other}, teams, Policy{})
+	teams := map[string]*Team{"red": {Used: Resources{CPUs: 80}, Quota: Resources{CPUs: 100}}, "blue": {Quota: Resources{CPUs: 100}}}
+	gang := &Job{ID: "gang", Team: "red", Rank: 2, Need: Resources{CPUs: 30}, Gang: true, Tasks: 1, Waiting: 1}
+	small := &Job{ID: "small", Team: "red", Rank: 1, Need: Resources{CPUs: 1}, Tasks: 30, Waiting: 30}
+	other := &Job{ID: "other", Team: "blue", Rank: 1, Need: Resources{CPUs: 1}, Tasks: 5, Waiting: 5}
+	Schedule(0, []*Machine{machineOf("m", 64, 64)}, []*Job{gang, small, other}, teams, Policy{})
 	if gang.Waiting != 1 || small.Waiting != 30 || other.Waiting != 0 {
 		t.Fatal(gang.Waiting, small.Waiting, other.Waiting)
 	}
-	teams["red"] = &Team{Used: Need{CPUs: 70}, Max: Need{CPUs: 100}}
-	Pass(0, []*Machine{machineOf("m", 64, 64)}, []*Job{gang, small}, teams, Policy{})
+	teams["red"] = &Team{Used: Resources{CPUs: 70}, Quota: Resources{CPUs: 100}}
+	Schedule(0, []*Machine{machineOf("m", 64, 64)}, []*Job{gang, small}, teams, Policy{})
 	if gang.Waiting != 0 {
 		t.Fatal("the gang does not start though there is room")
 	}
@@ -73,23 +73,23 @@
 			m.Zone, m.Spot, m.Type = []string{"a", "b"}[r.IntN(2)], r.IntN(3) == 0, []string{"t", "u"}[r.IntN(2)]
 			machines = append(machines, m)
 		}
-		teams := map[string]*Team{"red": {Max: Need{CPUs: 40}}, "blue": {Max: Need{CPUs: 15}}}
+		teams := map[string]*Team{"red": {Quota: Resources{CPUs: 40}}, "blue": {Quota: Resources{CPUs: 15}}}
 		byID := map[core.JobID]*Job{}
 		var jobs []*Job
 		for i := range 1 + r.IntN(12) {
 			n := 1 + r.IntN(8)
 			j := &Job{
-				ID: core.JobID(fmt.Sprint("j", i)), Team: []string{"red", "blue"}[r.IntN(2)], Rank: r.IntN(3), At: core.Wall(r.IntN(100)),
-				Need: Need{CPUs: 0.5 + 4*r.Float64(), MemoryGB: 10 * r.Float64()}, Gang: r.IntN(3) == 0, Tasks: n, Waiting: n, Spot: r.IntN(2) == 0,
+				ID: core.JobID(fmt.Sprint("j", i)), Team: []string{"red", "blue"}[r.IntN(2)], Rank: r.IntN(3), ReadyAt: core.Wall(r.IntN(100)),
+				Need: Resources{CPUs: 0.5 + 4*r.Float64(), MemoryGB: 10 * r.Float64()}, Gang: r.IntN(3) == 0, Tasks: n, Waiting: n, Spot: r.IntN(2) == 0,
 				OneZone: r.IntN(4) == 0, Estimate: time.Duration(r.IntN(100)) * time.Second,
 			}
-			j.Scatter = !j.OneZone && r.IntN(4) == 0
+			j.SpreadZones = !j.OneZone && r.IntN(4) == 0
 			if r.IntN(4) == 0 {
 				j.Types = []string{"t"}
 			}
 			jobs, byID[j.ID] = append(jobs, j), j
 		}
-		res := Pass(0, machines, jobs, teams, Policy{})
+		res := Schedule(0, machines, jobs, teams, Policy{})
 		count := map[core.JobID]int{}
 		at := map[core.MachineID]*Machine{}
 		for _, m := range machines {
@@ -119,21 +119,21 @@
 				t.Fatalf("seed %d: %s in two zones", seed, id)
 			}
 			for z, k := range zones[id] {
-				if j.Scatter && k > (j.Tasks+1)/2 {
+				if j.SpreadZones && k > (j.Tasks+1)/2 {
 					t.Fatalf("seed %d: %s has %d tasks in %s", seed, id, k, z)
 				}
 			}
 		}
 		for name, team := range teams {
-			if team.Used.CPUs > team.Max.CPUs+1e-6 {
+			if team.Used.CPUs > team.Quota.CPUs+1e-6 {
 				t.Fatalf("seed %d: team %s uses %g", seed, name, team.Used.CPUs)
 			}
 		}
-		if res.Reserved == "" {
+		if res.ReservedJob == "" {
 			for _, j := range jobs {
 				for _, m := range machines {
 					u := teams[j.Team]
-					if !j.Gang && !u.Holds(j) && j.Waiting > 0 && j.Need.Fits(m.Free()) && j.Allows(m.Type, m.Zone, m.Spot) && j.ZoneAllows(m.Zone, j.Zones) && u.Used.CPUs+j.Need.CPUs <= u.Max.CPUs {
+					if !j.Gang && !u.WithholdsFrom(j) && j.Waiting > 0 && j.Need.Fits(m.Free()) && j.Allows(m.Type, m.Zone, m.Spot) && j.AllowsZone(m.Zone, j.TasksByZone) && u.Used.CPUs+j.Need.CPUs <= u.Quota.CPUs {
 						t.Fatalf("seed %d: %s waits though %s has room", seed, j.ID, m.ID)
 					}
 				}
@@ -150,7 +150,7 @@
 func TestStarvingJobsBegin(t *testing.T) {
 	kept := func(gang, arrays float64) func(*Machine, *Team) {
 		return func(m *Machine, _ *Team) {
-			m.Kept, m.KeptFor, m.ByArrays = true, Need{CPUs: gang, MemoryGB: 1}, Need{CPUs: arrays, MemoryGB: 1}
+			m.GangReserved, m.GangTaskSize, m.BookedByArrays = true, Resources{CPUs: gang, MemoryGB: 1}, Resources{CPUs: arrays, MemoryGB: 1}
 			m.BusyFor = time.Minute
 		}
 	}
@@ -159,9 +159,9 @@
 		m.BusyFor = time.Second
 	}
 	inUse := func(m *Machine, _ *Team) {
-		m.Kept, m.KeptFor, m.LastingRoom = true, m.Total, Need{CPUs: 0.5, MemoryGB: 64}
+		m.GangReserved, m.GangTaskSize, m.RecentMinFree = true, m.Total, Resources{CPUs: 0.5, MemoryGB: 64}
 	}
-	asked := func(m *Machine, _ *Team) { m.Asked = true }
+	asked := func(m *Machine, _ *Team) { m.Draining = true }
 	limit := func(_ *Machine, t *Team) { t.Used.CPUs = 6 }
 	for _, tc := range []struct {
 		name       string
@@ -188,15 +188,15 @@
 		{"limit, a gang", Starved, false, true, limit, true},
 		{"limit, a gang, the larger one overdue", Starved, true, true, limit, false},
 	} {
-		m, team := machineOf("m", 8, 64), &Team{Max: Need{CPUs: 30}}
-		m.LastingRoom = m.Total
+		m, team := machineOf("m", 8, 64), &Team{Quota: Resources{CPUs: 30}}
+		m.RecentMinFree = m.Total
 		tc.change(m, team)
-		large := &Job{ID: "large", Team: "red", At: 1, Gang: true, Tasks: 4, Waiting: 4, Need: Need{CPUs: 7, MemoryGB: 1}, Overdue: tc.overdue, Rank: 1}
-		small := &Job{ID: "small", Team: "red", At: 2, Tasks: 9, Waiting: 1, Need: Need{CPUs: 1, MemoryGB: 1}, Starvation: tc.starvation, Gang: tc.gang, Estimate: 5 * time.Second}
+		large := &Job{ID: "large", Team: "red", ReadyAt: 1, Gang: true, Tasks: 4, Waiting: 4, Need: Resources{CPUs: 7, MemoryGB: 1}, Overdue: tc.overdue, Rank: 1}
+		small := &Job{ID: "small", Team: "red", ReadyAt: 2, Tasks: 9, Waiting: 1, Need: Resources{CPUs: 1, MemoryGB: 1}, Starvation: tc.starvation, Gang: tc.gang, Estimate: 5 * time.Second}
 		if tc.gang {
 			small.Tasks = 2
 		}
-		res := Pass(0, []*Machine{m}, []*Job{large, small}, map[string]*Team{"red": team}, Policy{})
+		res := Schedule(0, []*Machine{m}, []*Job{large, small}, map[string]*Team{"red": team}, Policy{})
 		if (len(res.Starts) == 1 && res.Starts[0].Job == "small") != tc.starts || len(res.Starts) > 1 {
 			t.Errorf("%s: %v", tc.name, res.Starts)
 		}
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -17,7 +17,7 @@
 	p := &pass{now: now, machines: machines, open: machines, teams: teams}
 	Sort(jobs)
 	rest := jobs
-	for len(rest) > 0 && p.out.Reserved == "" {
+	for len(rest) > 0 && p.out.ReservedJob == "" {
 		plainHead(p, rest[0])
 		rest = rest[1:]
 	}
@@ -86,7 +86,7 @@
 	}
 	sort.Slice(times, func(a, b int) bool { return times[a] < times[b] })
 	for _, at := range times {
-		free := func(m *Machine) Need { return m.freeAt(at) }
+		free := func(m *Machine) Resources { return m.freeAt(at) }
 		var picks []*Machine
 		if j.Gang {
 			picks = p.gang(p.machines, j, free)
@@ -94,9 +94,9 @@
 			picks = []*Machine{m}
 		}
 		if picks != nil {
-			p.out.Reserved, p.out.ReservedAt, p.out.Holds = j.ID, at, map[core.MachineID]Need{}
+			p.out.ReservedJob, p.out.ReservedAt, p.out.ReservedResources = j.ID, at, map[core.MachineID]Resources{}
 			for _, m := range picks {
-				p.out.Holds[m.ID] = p.out.Holds[m.ID].Plus(j.Need)
+				p.out.ReservedResources[m.ID] = p.out.ReservedResources[m.ID].Add(j.Need)
 			}
 			return
 		}
@@ -114,15 +114,15 @@
 			var machines []*Machine
 			for i := range 2 + r.IntN(30) {
 				m := machineOf(fmt.Sprintf("n-%03d", i), []float64{4, 16, 64}[r.IntN(3)], 64)
-				m.Zone, m.Spot, m.Unreliable, m.Kept = []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0, r.IntN(15) == 0, r.IntN(6) == 0
-				m.Asked = r.IntN(8) == 0
+				m.Zone, m.Spot, m.Unreliable, m.GangReserved = []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0, r.IntN(15) == 0, r.IntN(6) == 0
+				m.Draining = r.IntN(8) == 0
 				m.MaxTasks = []int{0, 5, 40}[r.IntN(3)]
 				for range r.IntN(int(m.Total.CPUs) + 1) {
-					m.Booked = m.Booked.Plus(Need{CPUs: 1, MemoryGB: 1})
-					m.Releases = append(m.Releases, Release{core.Time(r.Int64N(int64(time.Minute))), Need{CPUs: 1, MemoryGB: 1}})
+					m.Booked = m.Booked.Add(Resources{CPUs: 1, MemoryGB: 1})
+					m.Releases = append(m.Releases, Release{core.Time(r.Int64N(int64(time.Minute))), Resources{CPUs: 1, MemoryGB: 1}})
 				}
-				m.ByArrays, m.KeptFor = m.Booked, Need{CPUs: float64(r.IntN(5)), MemoryGB: 1}
-				m.LastingRoom, m.BusyFor = Need{CPUs: float64(r.IntN(6)), MemoryGB: 64}, time.Duration(r.IntN(60))*time.Second
+				m.BookedByArrays, m.GangTaskSize = m.Booked, Resources{CPUs: float64(r.IntN(5)), MemoryGB: 1}
+				m.RecentMinFree, m.BusyFor = Resources{CPUs: float64(r.IntN(6)), MemoryGB: 64}, time.Duration(r.IntN(60))*time.Second
 				m.Images[fmt.Sprint(r.IntN(3))] = true
 				machines = append(machines, m)
 			}
@@ -130,31 +130,31 @@
 			for i := range 1 + r.IntN(9) {
 				n := 1 + r.IntN(60)
 				j := &Job{
-					ID: core.JobID(fmt.Sprint("req-", i)), Team: []string{"red", "blue"}[r.IntN(2)], Rank: r.IntN(2), At: core.Wall(1 + r.IntN(9)), Need: Need{CPUs: float64(1 + r.IntN(3)), MemoryGB: 1.3},
+					ID: core.JobID(fmt.Sprint("req-", i)), Team: []string{"red", "blue"}[r.IntN(2)], Rank: r.IntN(2), ReadyAt: core.Wall(1 + r.IntN(9)), Need: Resources{CPUs: float64(1 + r.IntN(3)), MemoryGB: 1.3},
 					Tasks: n, Waiting: n, Estimate: time.Duration(1+r.IntN(60)) * time.Second, Image: fmt.Sprint(r.IntN(3)), Spot: r.IntN(2) == 0,
-					Scatter: r.IntN(5) == 0, NoChoice: r.IntN(5) == 0, Starvation: Starvation(max(0, r.IntN(9)-6)), Overdue: r.IntN(9) == 0, Avoid: map[core.MachineID]bool{"n-001": r.IntN(3) == 0},
+					SpreadZones: r.IntN(5) == 0, GangMachinesOnly: r.IntN(5) == 0, Starvation: Starvation(max(0, r.IntN(9)-6)), Overdue: r.IntN(9) == 0, ExcludedMachines: map[core.MachineID]bool{"n-001": r.IntN(3) == 0},
 				}
 				if r.IntN(4) == 0 {
-					j.Gang, j.Tasks, j.Waiting, j.Need.CPUs, j.Scatter, j.OneZone = true, 1+n%3, 1+n%3, float64(3+r.IntN(40)), false, r.IntN(2) == 0
+					j.Gang, j.Tasks, j.Waiting, j.Need.CPUs, j.SpreadZones, j.OneZone = true, 1+n%3, 1+n%3, float64(3+r.IntN(40)), false, r.IntN(2) == 0
 				}
 				jobs = append(jobs, j)
 			}
 			for i := range r.IntN(3) * 15 { // thousands of jobs of one task each
 				jobs = append(jobs, &Job{
-					ID: core.JobID(fmt.Sprint("single-", i)), Team: "blue", At: core.Wall(2 + r.IntN(9)), Need: Need{CPUs: 0.5, MemoryGB: float64(1 + seed%3)},
-					Tasks: 1, Waiting: 1, Estimate: time.Duration(1+r.IntN(60)) * time.Second, Image: fmt.Sprint(r.IntN(2)), Spot: true, Timed: r.IntN(2) == 0,
+					ID: core.JobID(fmt.Sprint("single-", i)), Team: "blue", ReadyAt: core.Wall(2 + r.IntN(9)), Need: Resources{CPUs: 0.5, MemoryGB: float64(1 + seed%3)},
+					Tasks: 1, Waiting: 1, Estimate: time.Duration(1+r.IntN(60)) * time.Second, Image: fmt.Sprint(r.IntN(2)), Spot: true, TimeSensitive: r.IntN(2) == 0,
 				})
 			}
-			return machines, jobs, map[string]*Team{"red": {Max: Need{CPUs: float64(10 + r.IntN(500))}}, "blue": {Max: Need{CPUs: 1000}}}
+			return machines, jobs, map[string]*Team{"red": {Quota: Resources{CPUs: float64(10 + r.IntN(500))}}, "blue": {Quota: Resources{CPUs: 1000}}}
 		}
 		m1, j1, t1 := build()
 		m2, j2, t2 := build()
-		got, want := Pass(0, m1, j1, t1, Policy{}), plainPass(0, m2, j2, t2)
+		got, want := Schedule(0, m1, j1, t1, Policy{}), plainPass(0, m2, j2, t2)
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d:\n%+v\n%+v", seed, got, want)
 		}
 		started += len(got.Starts)
-		if got.Reserved != "" {
+		if got.ReservedJob != "" {
 			reserved++
 		}
 	}
--- a/internal/placement/rating.go
+++ b/internal/placement/rating.go
@@ -6,7 +6,7 @@
 
 // Score rates a need on a machine; lower is better. It is the paper's balance
 // measure less one, times its fullness modifier.
-func Score(m *Machine, n Need) (score, mean float64) {
+func Score(m *Machine, n Resources) (score, mean float64) {
 	most, sum, k := 0.0, 0.0, 0.0
 	add := func(booked, need, total float64) {
 		if total > 0 {
@@ -60,7 +60,7 @@
 	var pick *Machine
 	var top rating
 	for _, m := range machines {
-		if !j.takes(m, free(m)) || !j.ZoneAllows(m.Zone, j.Zones) {
+		if !j.takes(m, free(m)) || !j.AllowsZone(m.Zone, j.TasksByZone) {
 			continue
 		}
 		if p.policy.FirstFit {
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -118,7 +118,7 @@
 func (w *World) watchRoom() {
 	w.After(5*time.Second, w.watchRoom)
 	up := w.Cloud.RunningMachines()
-	free := make([]placement.Need, len(up))
+	free := make([]placement.Resources, len(up))
 	for i, m := range up {
 		free[i] = m.free()
 	}
@@ -127,7 +127,7 @@
 		var machines []string
 		if (j.Form != api.FormGang || j.Tasks == 1) && w.Checker.WithinLimits(j.Team, j.CPUs, j.GPUs) {
 			for i, m := range up {
-				if m.notice == 0 && !m.Faulty && w.now >= m.hung && m.allowed(j) && (placement.Need{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}).Fits(free[i]) {
+				if m.notice == 0 && !m.Faulty && w.now >= m.hung && m.allowed(j) && (placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}).Fits(free[i]) {
 					machines = append(machines, m.ID)
 				}
 			}
--- a/internal/sim/tasks.go
+++ b/internal/sim/tasks.go
@@ -134,14 +134,14 @@
 }
 
 // free is what no task uses.
-func (m *Machine) free() placement.Need {
-	used := placement.Need{}
+func (m *Machine) free() placement.Resources {
+	used := placement.Resources{}
 	for _, o := range m.tasks {
 		if o.state != api.TaskExited {
-			used = used.Plus(placement.Need{CPUs: o.job.CPUs, GPUs: o.job.GPUs, MemoryGB: o.job.MemoryGB})
+			used = used.Add(placement.Resources{CPUs: o.job.CPUs, GPUs: o.job.GPUs, MemoryGB: o.job.MemoryGB})
 		}
 	}
-	return placement.Need{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}.Minus(used)
+	return placement.Resources{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}.Sub(used)
 }
 
 func (m *Machine) start(k taskKey) {
@@ -160,7 +160,7 @@
 			return
 		}
 	}
-	need := placement.Need{CPUs: t.job.CPUs, GPUs: t.job.GPUs, MemoryGB: t.job.MemoryGB}
+	need := placement.Resources{CPUs: t.job.CPUs, GPUs: t.job.GPUs, MemoryGB: t.job.MemoryGB}
 	if !need.Fits(m.free()) {
 		t.cause = api.CauseNoRoom
 		return
