--- a/internal/block/answers.go
+++ b/internal/block/answers.go
@@ -8,9 +8,9 @@
 	"lichenstair/internal/core"
 )
 
-// Report answers a worker's report, now or, if it has nothing to do, a little
+// HandleReport answers a worker's report, now or, if it has nothing to do, a little
 // later; done(_, false) means that the machine is not ours to answer.
-func (h *Holder) Report(rep *api.Report, done func(api.ReportAnswer, bool)) {
+func (h *Holder) HandleReport(rep *api.Report, done func(api.ReportAnswer, bool)) {
 	m := h.machines[core.MachineID(rep.Machine)]
 	if m == nil || m.floor == ^core.Session(0) {
 		done(api.ReportAnswer{}, false)
@@ -66,7 +66,7 @@
 // refusal tells why a report is neither taken in nor answered; empty: it is.
 func (h *Holder) refusal(m *machine, rep *api.Report, now core.Time) messageResult {
 	switch {
-	case !h.Entitled():
+	case !h.MayAnswerWorkers():
 		return messageNotEntitled
 	case core.Term(rep.Term) > h.termOf(m):
 		return messageOverruled
@@ -95,7 +95,7 @@
 		return
 	}
 	m.held = nil
-	if h.state == released || h.machines[m.id] != m || !h.Entitled() {
+	if h.state == released || h.machines[m.id] != m || !h.MayAnswerWorkers() {
 		x.done(api.ReportAnswer{}, false)
 		return
 	}
--- a/internal/block/attempts_test.go
+++ b/internal/block/attempts_test.go
@@ -21,7 +21,7 @@
 	h.Types = func() map[string]api.MachineType {
 		return map[string]api.MachineType{"t": {Name: "t", CPUs: 64, MemoryGB: 64, FetchGBPerS: 1}}
 	}
-	h.Kept = func() capacity.GangKinds { return capacity.GangKinds{} }
+	h.GangKinds = func() capacity.GangKinds { return capacity.GangKinds{} }
 	h.machines = map[core.MachineID]*machine{}
 	for i := range machines {
 		id := core.MachineID(fmt.Sprintf("n-%d", i+1))
--- a/internal/block/candidates.go
+++ b/internal/block/candidates.go
@@ -51,7 +51,7 @@
 // keptNow lists the kinds of machine that arrays must leave alone: those always
 // kept for gangs, and those that a gang waits for now.
 func (h *Holder) keptNow(jobs []*placement.Job, types map[string]api.MachineType) capacity.GangKinds {
-	kept := h.Kept()
+	kept := h.GangKinds()
 	for _, j := range jobs {
 		if !j.Gang || j.Failing {
 			continue
--- a/internal/block/dependency_test.go
+++ b/internal/block/dependency_test.go
@@ -65,7 +65,7 @@
 	}
 	return New(Env{
 		Loop: loop, Log: log, Config: cfg, Host: cfg.Host, Mirror: mirror, State: client, Workers: worker.NewClient(loop),
-		Types: func() map[string]api.MachineType { return nil }, Kept: func() capacity.GangKinds { return capacity.GangKinds{} },
+		Types: func() map[string]api.MachineType { return nil }, GangKinds: func() capacity.GangKinds { return capacity.GangKinds{} },
 	}, &record)
 }
 
@@ -82,7 +82,7 @@
 	if n := h.jobs["req-2"].waiting(); n != 0 {
 		t.Errorf("%d tasks of a job wait though another has to be done first", n)
 	}
-	if n := h.Hint().WaitingTasks; n != 20 {
+	if n := h.BlockHint().WaitingTasks; n != 20 {
 		t.Errorf("%d waiting tasks are told to the others, want 20", n)
 	}
 	var listed []core.JobID
--- a/internal/block/follow.go
+++ b/internal/block/follow.go
@@ -8,8 +8,8 @@
 	"lichenstair/internal/state"
 )
 
-// Changed takes in what has changed in the mirror.
-func (h *Holder) Changed(t state.Touched) {
+// ApplyChanges takes in what has changed in the mirror.
+func (h *Holder) ApplyChanges(t state.Touched) {
 	if h.state == released {
 		return
 	}
@@ -171,8 +171,8 @@
 	return out
 }
 
-// Cancelled takes in that a job is durably cancelled, before the mirror shows it.
-func (h *Holder) Cancelled(id core.JobID) {
+// ApplyCancellation takes in that a job is durably cancelled, before the mirror shows it.
+func (h *Holder) ApplyCancellation(id core.JobID) {
 	j := h.jobs[id]
 	if h.state == released || j == nil || j.cancelled {
 		return
--- a/internal/block/hints.go
+++ b/internal/block/hints.go
@@ -6,8 +6,8 @@
 	"lichenstair/internal/peer"
 )
 
-// Hint tells the other controllers how the block stands.
-func (h *Holder) Hint() peer.BlockHint {
+// BlockHint tells the other controllers how the block stands.
+func (h *Holder) BlockHint() peer.BlockHint {
 	hint := peer.BlockHint{Number: h.number, Term: h.term, Placing: h.state == placing}
 	for _, j := range h.jobs {
 		hint.WaitingTasks += max(j.waiting(), 0)
@@ -29,15 +29,15 @@
 // RunningHints tells the other controllers what runs in the block, for display.
 func (h *Holder) RunningHints() (out []peer.RunningHint) {
 	for _, id := range core.SortedKeys(h.jobs) {
-		if n := h.Running(id); n > 0 {
+		if n := h.RunningCount(id); n > 0 {
 			out = append(out, peer.RunningHint{Job: id, Tasks: n})
 		}
 	}
 	return out
 }
 
-// Failing lists the jobs that are tried one task at a time.
-func (h *Holder) Failing() (out []core.JobID) {
+// FailingJobs lists the jobs that are tried one task at a time.
+func (h *Holder) FailingJobs() (out []core.JobID) {
 	for _, id := range core.SortedKeys(h.jobs) {
 		if h.jobs[id].probing() {
 			out = append(out, id)
@@ -46,8 +46,8 @@
 	return out
 }
 
-// Running counts the tasks of a job that run, for display.
-func (h *Holder) Running(id core.JobID) int {
+// RunningCount counts the tasks of a job that run, for display.
+func (h *Holder) RunningCount(id core.JobID) int {
 	j := h.jobs[id]
 	if j == nil {
 		return 0
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -19,17 +19,17 @@
 
 // Env is what a holder works with.
 type Env struct {
-	Loop    core.Loop
-	Log     *slog.Logger
-	Config  *config.Config
-	Host    core.Host
-	Mirror  *state.Mirror
-	State   *state.Client
-	Workers *worker.Client
-	Types   func() map[string]api.MachineType
-	Kept    func() capacity.GangKinds
-	Policy  placement.Policy
-	Metrics *metrics.Metrics
+	Loop      core.Loop
+	Log       *slog.Logger
+	Config    *config.Config
+	Host      core.Host
+	Mirror    *state.Mirror
+	State     *state.Client
+	Workers   *worker.Client
+	Types     func() map[string]api.MachineType
+	GangKinds func() capacity.GangKinds
+	Policy    placement.Policy
+	Metrics   *metrics.Metrics
 }
 
 // holderState is the state of a holder.
@@ -143,8 +143,8 @@
 	return w.Cancel - w.Lease - 2*margin - time.Duration(float64(w.Cancel)*2*core.MaxClockDrift) - time.Second
 }
 
-// Entitled tells whether we may still answer workers.
-func (h *Holder) Entitled() bool {
+// MayAnswerWorkers tells whether we may still answer workers.
+func (h *Holder) MayAnswerWorkers() bool {
 	at, ok := h.Mirror.Contact()
 	return h.state != released && ok && h.Loop.Now().Sub(at) < maxSilence(h.Config.Workers)
 }
@@ -177,8 +177,8 @@
 	h.dirty = true
 }
 
-// StoodStill tells that the process did not run for a while.
-func (h *Holder) StoodStill() { h.awake = h.Loop.Now() }
+// NotePause tells that the process did not run for a while.
+func (h *Holder) NotePause() { h.awake = h.Loop.Now() }
 
 // quiet is how long a machine may say nothing before it counts as silent.
 func (h *Holder) quiet() time.Duration { return max(3*h.Config.Workers.Report, 2*time.Second) }
--- a/internal/block/holder_test.go
+++ b/internal/block/holder_test.go
@@ -278,7 +278,7 @@
 	h.Mirror = state.NewMirror(loop, h.State, h.Log)
 	h.Mirror.Start()
 	h.Mirror.Fresh(func(bool) {})
-	if !h.Entitled() {
+	if !h.MayAnswerWorkers() {
 		t.Fatal("no proof")
 	}
 	return h, m, loop
@@ -293,7 +293,7 @@
 	}{{time.Second, true}, {maxSilence(config.Workers{Lease: 10 * time.Second, Cancel: 35 * time.Second}) + time.Millisecond, false}} {
 		h, m, loop := provenHolder(t)
 		got, ok := 0, false
-		h.Report(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 1, Term: 7}, func(_ api.ReportAnswer, yes bool) {
+		h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 1, Term: 7}, func(_ api.ReportAnswer, yes bool) {
 			got++
 			ok = yes
 		})
@@ -305,7 +305,7 @@
 		if got != 1 || ok != tc.answered {
 			t.Errorf("after %s: %d answers, one that renews the lease: %v", tc.later, got, ok)
 		}
-		h.Report(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 2, Term: 7}, func(_ api.ReportAnswer, yes bool) { ok = yes })
+		h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 2, Term: 7}, func(_ api.ReportAnswer, yes bool) { ok = yes })
 		h.flush(m)
 		if ok != tc.answered {
 			t.Errorf("after %s a new report is answered: %v", tc.later, ok)
@@ -319,7 +319,7 @@
 	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Season: 1, Tally: 9, Term: 7}, evidence{fromReport, loop.now})
 	loop.now = loop.now.Add(8 * time.Second)
 	ok := true
-	h.Report(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 4, Term: 7}, func(_ api.ReportAnswer, yes bool) { ok = yes })
+	h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 4, Term: 7}, func(_ api.ReportAnswer, yes bool) { ok = yes })
 	if ok || m.answer != 0 || m.held != nil {
 		t.Fatalf("answered %v, counts as answered at %v", ok, m.answer)
 	}
--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -30,7 +30,7 @@
 	}
 	n.broadcast(peer.EncodeCancellations([]core.JobID{id}))
 	for _, h := range n.holders {
-		h.Cancelled(id)
+		h.ApplyCancellation(id)
 	}
 }
 
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -63,7 +63,7 @@
 // told anything lately.
 func (n *Node) hint(num int, holder core.Host) (peer.BlockHint, bool) {
 	if h := n.holders[num]; h != nil {
-		return h.Hint(), true
+		return h.BlockHint(), true
 	}
 	p, ok := n.peers[holder]
 	if !ok || n.loop.Now().Sub(p.at) > beatValid {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -109,7 +109,7 @@
 		// silent because we did not listen.
 		n.log.Info("we stood still", "for", late.String(), "tenure_sure", n.sure())
 		for _, h := range n.holders {
-			h.StoodStill()
+			h.NotePause()
 		}
 	}
 	n.ticked = now
@@ -147,7 +147,7 @@
 	}
 	n.follow()
 	for _, num := range core.SortedKeys(n.holders) {
-		n.holders[num].Changed(t)
+		n.holders[num].ApplyChanges(t)
 	}
 	if n.leader != nil {
 		n.leader.Tick()
@@ -186,7 +186,7 @@
 		b := n.mirror.Blocks[num]
 		if n.holders[num] == nil && n.tenure != 0 && b.Record.Holder == n.cfg.Host && b.Record.Tenure == n.tenure {
 			n.holders[num] = block.New(block.Env{
-				Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Workers: n.workers, Types: n.types, Kept: n.kept, Policy: n.Policy, Metrics: n.metrics,
+				Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Workers: n.workers, Types: n.types, GangKinds: n.kept, Policy: n.Policy, Metrics: n.metrics,
 			}, b.Record)
 			n.metrics.BlockTerm.WithLabelValues(strconv.Itoa(num)).Set(float64(b.Record.Term))
 		}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -28,9 +28,9 @@
 	n.shareChanges()
 	b := peer.Heartbeat{Host: n.cfg.Host, LeaseID: n.tenure, Staleness: n.contact(), WriteRate: uint64(10 * n.state.Usage())}
 	for _, num := range core.SortedKeys(n.holders) {
-		b.Blocks = append(b.Blocks, n.holders[num].Hint())
+		b.Blocks = append(b.Blocks, n.holders[num].BlockHint())
 		b.Running = append(b.Running, n.holders[num].RunningHints()...)
-		b.Failing = append(b.Failing, n.holders[num].Failing()...)
+		b.Failing = append(b.Failing, n.holders[num].FailingJobs()...)
 	}
 	// If they are too many for a frame, those with the most tasks matter most.
 	slices.SortStableFunc(b.Running, func(x, y peer.RunningHint) int { return cmp.Compare(y.Tasks, x.Tasks) })
@@ -66,7 +66,7 @@
 	if ids, ok := peer.DecodeCancellations(frame); ok {
 		for _, id := range ids {
 			for _, h := range n.holders {
-				h.Cancelled(id)
+				h.ApplyCancellation(id)
 			}
 		}
 		return
@@ -101,7 +101,7 @@
 func (n *Node) failing() map[core.JobID]bool {
 	out := map[core.JobID]bool{}
 	for _, h := range n.holders {
-		for _, id := range h.Failing() {
+		for _, id := range h.FailingJobs() {
 			out[id] = true
 		}
 	}
@@ -150,7 +150,7 @@
 // running counts the tasks of a job that run, as far as is known here.
 func (n *Node) running(id core.JobID) (sum int) {
 	for _, h := range n.holders {
-		sum += h.Running(id)
+		sum += h.RunningCount(id)
 	}
 	now := n.loop.Now()
 	for _, h := range n.peers {
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -41,7 +41,7 @@
 		n.redirect(id, reply)
 		return
 	}
-	h.Report(&rep, func(a api.ReportAnswer, ok bool) {
+	h.HandleReport(&rep, func(a api.ReportAnswer, ok bool) {
 		if ok {
 			reply(Response{Status: 200, Body: a})
 			return
@@ -91,7 +91,7 @@
 			n.parked = append(n.parked, p)
 		case ok && n.holders[num] != nil:
 			n.log.Debug("report is handed to its machine's holder", "machine", id, "block", num, "season", p.rep.Season, "tally", p.rep.Tally, "waited", now.Sub(p.since).String())
-			n.holders[num].Report(p.rep, func(a api.ReportAnswer, ok bool) {
+			n.holders[num].HandleReport(p.rep, func(a api.ReportAnswer, ok bool) {
 				if ok {
 					p.reply(Response{Status: 200, Body: a})
 					return
