--- a/api/cloud.go
+++ b/api/cloud.go
@@ -21,15 +21,15 @@
 
 // Rental asks for machines.
 type Rental struct {
-	Request string `json:"plea"`
-	Type    string `json:"stock"`
-	Zone    string `json:"patch"`
-	Spot    bool   `json:"windfall"`
-	Count   int    `json:"number"`
+	RequestID string `json:"plea"`
+	Type      string `json:"stock"`
+	Zone      string `json:"patch"`
+	Spot      bool   `json:"windfall"`
+	Count     int    `json:"number"`
 }
 
-// MachineNames lists machines, in the answer to a rental and in a return.
-type MachineNames struct {
+// MachineIDs lists machines, in the answer to a rental and in a return.
+type MachineIDs struct {
 	Machines []string `json:"rocks"`
 }
 
--- a/api/decode_test.go
+++ b/api/decode_test.go
@@ -12,12 +12,12 @@
 // nothing that arrives makes it crash, since it runs on the loop.
 func TestDecodeReadsAlike(t *testing.T) {
 	notice := 12.5
-	rep := Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Season: 1, Tally: 88, Term: 1 << 63, NoticeS: &notice}
+	rep := Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Sequence: 88, Term: 1 << 63, NoticeS: &notice}
 	for i := range 5 {
-		rep.Tasks = append(rep.Tasks, TaskView{Task: fmt.Sprintf("req-000412/%d", i), Attempt: 1<<40 + uint64(i), State: TaskExited, Cause: CauseDone, Saved: i%2 == 0})
+		rep.Tasks = append(rep.Tasks, TaskStatus{Task: fmt.Sprintf("req-000412/%d", i), Attempt: 1<<40 + uint64(i), State: TaskExited, Cause: CauseDone, Saved: i%2 == 0})
 	}
 	raw, _ := json.Marshal(rep)
-	watch, _ := json.Marshal(WatchAnswer{Revision: 433, Events: []Event{{Set: "c/9", Value: json.RawMessage(`{"a":[1,{"b":null}]}`), Version: 433}, {Remove: "c/d", Version: 432}}})
+	watch, _ := json.Marshal(WatchResponse{Revision: 433, Events: []Event{{Set: "c/9", Value: json.RawMessage(`{"a":[1,{"b":null}]}`), Version: 433}, {Remove: "c/d", Version: 432}}})
 	r := rand.New(rand.NewPCG(4, 2))
 	taken := 0
 	for n := range 60_000 {
@@ -39,7 +39,7 @@
 		}
 		var plain, fast any = &Report{}, &Report{}
 		if n%2 == 1 {
-			plain, fast = &WatchAnswer{}, &WatchAnswer{}
+			plain, fast = &WatchResponse{}, &WatchResponse{}
 		}
 		err := Decode(body, fast)
 		if json.Unmarshal(body, plain) != nil {
--- a/api/parse.go
+++ b/api/parse.go
@@ -54,7 +54,7 @@
 		ID: p.text("uid"), Class: p.text("strain"), Team: p.text("crew"), Form: p.text("form"), Rank: p.text("rank"),
 		Tasks: p.count("spores"), CPUs: p.amount("cpus"), GPUs: p.amount("gpus"), MemoryGB: p.amount("ramGb"),
 		Image: p.text("seedcase"), ImageGB: p.amount("pullGb"),
-		OneZone: p.flag("oneZone"), Scatter: p.flag("scatter"), Spot: p.flag("windfall"),
+		OneZone: p.flag("oneZone"), SpreadZones: p.flag("scatter"), Spot: p.flag("windfall"),
 		EstimateS: p.amount("growS"), CheckpointS: p.amount("moltS"), SaveS: p.amount("shedS"),
 	}
 	if p.present("stocks") {
--- a/api/state.go
+++ b/api/state.go
@@ -7,7 +7,7 @@
 	Key     string          `json:"path"`
 	Value   json.RawMessage `json:"data"`
 	Version uint64          `json:"growth"`
-	Tenure  uint64          `json:"tenure,omitempty"`
+	LeaseID uint64          `json:"tenure,omitempty"`
 }
 
 // ItemPage is a page of keys.
@@ -25,10 +25,10 @@
 
 // Change sets or removes one key.
 type Change struct {
-	Set    string          `json:"set,omitempty"`
-	Value  json.RawMessage `json:"data,omitempty"`
-	Tenure uint64          `json:"tenure,omitempty"`
-	Remove string          `json:"remove,omitempty"`
+	Set     string          `json:"set,omitempty"`
+	Value   json.RawMessage `json:"data,omitempty"`
+	LeaseID uint64          `json:"tenure,omitempty"`
+	Remove  string          `json:"remove,omitempty"`
 }
 
 // Txn is an atomic set of changes under conditions.
@@ -37,20 +37,20 @@
 	Then []Change    `json:"apply,omitempty"`
 }
 
-// TxnAnswer answers a Txn; Failed names the conditions that did not hold.
-type TxnAnswer struct {
+// TxnResponse answers a Txn; Failed names the conditions that did not hold.
+type TxnResponse struct {
 	Revision uint64   `json:"ring"`
 	Failed   []string `json:"failed,omitempty"`
 }
 
-// TenureRequest asks for a lease.
-type TenureRequest struct {
+// LeaseRequest asks for a lease.
+type LeaseRequest struct {
 	TTLMS int `json:"ttlMs"`
 }
 
-// TenureAnswer names the lease granted.
-type TenureAnswer struct {
-	Tenure uint64 `json:"tenure"`
+// LeaseResponse names the lease granted.
+type LeaseResponse struct {
+	LeaseID uint64 `json:"tenure"`
 }
 
 // Event is one change seen by a watch.
@@ -61,8 +61,8 @@
 	Remove  string          `json:"remove,omitempty"`
 }
 
-// WatchAnswer carries all changes since a revision.
-type WatchAnswer struct {
+// WatchResponse carries all changes since a revision.
+type WatchResponse struct {
 	Revision uint64  `json:"ring"`
 	Events   []Event `json:"events"`
 }
--- a/api/users.go
+++ b/api/users.go
@@ -19,7 +19,7 @@
 	Types       []string `json:"stocks"`
 	Zone        *string  `json:"patch"`
 	OneZone     bool     `json:"oneZone"`
-	Scatter     bool     `json:"scatter"`
+	SpreadZones bool     `json:"scatter"`
 	Spot        bool     `json:"windfall"`
 	EstimateS   float64  `json:"growS"`
 	CheckpointS float64  `json:"moltS"`
--- a/api/workers.go
+++ b/api/workers.go
@@ -2,20 +2,20 @@
 
 // Report is what a worker tells of itself and of the tasks on it.
 type Report struct {
-	Machine string     `json:"rock"`
-	Addr    string     `json:"addr"`
-	Type    string     `json:"stock"`
-	Zone    string     `json:"patch"`
-	Spot    bool       `json:"windfall"`
-	Season  uint64     `json:"season"`
-	Tally   uint64     `json:"tally"`
-	Term    uint64     `json:"warrant"`
-	NoticeS *float64   `json:"warningS"`
-	Tasks   []TaskView `json:"spores"`
+	Machine  string       `json:"rock"`
+	Addr     string       `json:"addr"`
+	Type     string       `json:"stock"`
+	Zone     string       `json:"patch"`
+	Spot     bool         `json:"windfall"`
+	Session  uint64       `json:"season"`
+	Sequence uint64       `json:"tally"`
+	Term     uint64       `json:"warrant"`
+	NoticeS  *float64     `json:"warningS"`
+	Tasks    []TaskStatus `json:"spores"`
 }
 
-// TaskView is one task of a report.
-type TaskView struct {
+// TaskStatus is one task of a report.
+type TaskStatus struct {
 	Task    string `json:"spore"`
 	Attempt uint64 `json:"sprout"`
 	State   string `json:"phase"`
@@ -51,28 +51,28 @@
 	VerbClear = "clear"
 )
 
-// Order is one command to a worker.
-type Order struct {
+// Command is one command to a worker.
+type Command struct {
 	Verb    string   `json:"verb"`
 	Task    string   `json:"spore"`
 	Attempt uint64   `json:"sprout"`
 	GraceS  *float64 `json:"wiltS,omitempty"`
 }
 
-// ReportAnswer answers a report.
-type ReportAnswer struct {
-	Term   uint64  `json:"warrant"`
-	Orders []Order `json:"orders"`
+// ReportResponse answers a report.
+type ReportResponse struct {
+	Term     uint64    `json:"warrant"`
+	Commands []Command `json:"orders"`
 }
 
 // Redirect answers a report that belongs elsewhere.
 type Redirect struct {
-	Steward string `json:"steward,omitempty"`
+	Holder string `json:"steward,omitempty"`
 }
 
-// Direct is a command sent straight to a worker.
-type Direct struct {
-	Term   uint64  `json:"warrant"`
-	Season uint64  `json:"season"`
-	Orders []Order `json:"orders"`
+// CommandRequest is a command sent straight to a worker.
+type CommandRequest struct {
+	Term     uint64    `json:"warrant"`
+	Session  uint64    `json:"season"`
+	Commands []Command `json:"orders"`
 }
--- a/cmd/lichenstair/main.go
+++ b/cmd/lichenstair/main.go
@@ -99,8 +99,8 @@
 	if err != nil {
 		return fmt.Errorf("peer_listen: %w", err)
 	}
-	conns, calls := cfg.Limits.Shares(len(cfg.Peers))
-	if least := config.LeastSockets(len(cfg.Peers)); cfg.Limits.Sockets < least {
+	conns, calls := cfg.Limits.ConnectionLimits(len(cfg.Peers))
+	if least := config.MinSockets(len(cfg.Peers)); cfg.Limits.Sockets < least {
 		log.Warn("fd_limit is too small: connections will fail, and workers go to other controllers", "fd_limit", cfg.Limits.Sockets, "least", least)
 	}
 	loop := core.NewEventLoop(conns)
--- a/internal/block/answers.go
+++ b/internal/block/answers.go
@@ -10,16 +10,16 @@
 
 // HandleReport answers a worker's report, now or, if it has nothing to do, a little
 // later; done(_, false) means that the machine is not ours to answer.
-func (h *Holder) HandleReport(rep *api.Report, done func(api.ReportAnswer, bool)) {
+func (h *Holder) HandleReport(rep *api.Report, done func(api.ReportResponse, bool)) {
 	m := h.machines[core.MachineID(rep.Machine)]
 	if m == nil || m.floor == ^core.Session(0) {
-		done(api.ReportAnswer{}, false)
+		done(api.ReportResponse{}, false)
 		return
 	}
 	now := h.Loop.Now()
 	if refusal := h.refusal(m, rep, now); refusal != "" {
-		h.noteMessage(m, fromReport, refusal, core.Session(rep.Season), core.Sequence(rep.Tally))
-		done(api.ReportAnswer{}, false)
+		h.noteMessage(m, fromReport, refusal, core.Session(rep.Session), core.Sequence(rep.Sequence))
+		done(api.ReportResponse{}, false)
 		return
 	}
 	h.flush(m)
@@ -37,18 +37,18 @@
 			// ever the time at which that has surely run out, and the whole
 			// block would wait for it.
 			h.noteMessage(m, fromReport, messageUnheard, m.season, m.tally)
-			done(api.ReportAnswer{}, false)
+			done(api.ReportResponse{}, false)
 			return
 		}
 	}
 	m.answer, m.answered = max(m.answer, now), now
 	if !fresh {
-		done(api.ReportAnswer{Term: uint64(h.termOf(m)), Orders: []api.Order{}}, true)
+		done(api.ReportResponse{Term: uint64(h.termOf(m)), Commands: []api.Command{}}, true)
 		return
 	}
 	h.passSoon()
 	if h.urgent(m) {
-		done(api.ReportAnswer{Term: uint64(h.termOf(m)), Orders: h.orders(m)}, true)
+		done(api.ReportResponse{Term: uint64(h.termOf(m)), Commands: h.orders(m)}, true)
 		return
 	}
 	x := &held{done}
@@ -85,7 +85,7 @@
 	if !m.empty() && !m.planned() {
 		return reportPause - 50*time.Millisecond
 	}
-	return h.Config.Workers.Hold()
+	return h.Config.Workers.MaxReportHold()
 }
 
 // flush answers a report that was kept back.
@@ -96,11 +96,11 @@
 	}
 	m.held = nil
 	if h.state == released || h.machines[m.id] != m || !h.MayAnswerWorkers() {
-		x.done(api.ReportAnswer{}, false)
+		x.done(api.ReportResponse{}, false)
 		return
 	}
 	m.answered = h.Loop.Now()
-	x.done(api.ReportAnswer{Term: uint64(h.termOf(m)), Orders: h.orders(m)}, true)
+	x.done(api.ReportResponse{Term: uint64(h.termOf(m)), Commands: h.orders(m)}, true)
 }
 
 // flushReady answers the reports for which there is something to say by now, and
@@ -134,7 +134,7 @@
 	switch {
 	case e == nil:
 		return stopUnknownJob
-	case e.Over():
+	case e.Finished():
 		return stopJobOver
 	case j == nil:
 		return stopNotOurs
@@ -153,15 +153,15 @@
 }
 
 // orders composes the commands for a machine that has just reported.
-func (h *Holder) orders(m *machine) []api.Order {
+func (h *Holder) orders(m *machine) []api.Command {
 	now := h.Loop.Now()
-	var kills, clears, runs []api.Order
+	var kills, clears, runs []api.Command
 	for _, s := range m.list() {
-		order := api.Order{Task: s.task.String(), Attempt: uint64(s.attempt)}
+		order := api.Command{Task: s.task.String(), Attempt: uint64(s.attempt)}
 		e := h.Mirror.Jobs[s.task.Job]
 		switch s.state {
 		case exited:
-			if s.cause != api.CauseDone || e == nil || e.Over() || e.Done.Has(s.task.Index) {
+			if s.cause != api.CauseDone || e == nil || e.Finished() || e.Done.Has(s.task.Index) {
 				order.Verb = api.VerbClear
 				clears = append(clears, order)
 			}
@@ -194,7 +194,7 @@
 	}
 	out := append(append(kills, clears...), runs...)
 	if out == nil {
-		out = []api.Order{}
+		out = []api.Command{}
 	}
 	return out
 }
--- a/internal/block/attempts_test.go
+++ b/internal/block/attempts_test.go
@@ -38,12 +38,12 @@
 }
 
 // reportOf is a report of a machine.
-func reportOf(id core.MachineID, tally, term uint64, tasks ...api.TaskView) *api.Report {
-	return &api.Report{Machine: string(id), Addr: "x:1", Type: "t", Season: 1, Tally: tally, Term: term, Tasks: tasks}
+func reportOf(id core.MachineID, tally, term uint64, tasks ...api.TaskStatus) *api.Report {
+	return &api.Report{Machine: string(id), Addr: "x:1", Type: "t", Session: 1, Sequence: tally, Term: term, Tasks: tasks}
 }
 
-func runningTask(task string, attempt uint64) api.TaskView {
-	return api.TaskView{Task: task, Attempt: attempt, State: api.TaskRunning}
+func runningTask(task string, attempt uint64) api.TaskStatus {
+	return api.TaskStatus{Task: task, Attempt: attempt, State: api.TaskRunning}
 }
 
 // killsOf counts the commands to stop an attempt that a machine's next answer would carry.
@@ -95,13 +95,13 @@
 }
 
 // show has a machine show tasks in a report that it sends under the holder's term.
-func show(h *Holder, m *machine, tally uint64, tasks ...api.TaskView) {
+func show(h *Holder, m *machine, tally uint64, tasks ...api.TaskStatus) {
 	h.take(m, reportOf(m.id, tally, 7, tasks...), evidence{fromReport, h.Loop.Now()})
 	h.checkRecovered()
 }
 
-func exitedTask(task string, attempt uint64, cause string) api.TaskView {
-	return api.TaskView{Task: task, Attempt: attempt, State: api.TaskExited, Cause: cause}
+func exitedTask(task string, attempt uint64, cause string) api.TaskStatus {
+	return api.TaskStatus{Task: task, Attempt: attempt, State: api.TaskExited, Cause: cause}
 }
 
 // Of two attempts of a task that are both proven to be on machines the newer one is kept and
@@ -219,7 +219,7 @@
 func TestOlderMessageAfterNewer(t *testing.T) {
 	h, j, first, _ := placingHolder(api.FormArray, 1)
 	newer := reportOf("n-1", 3, 7)
-	newer.Season = 2
+	newer.Session = 2
 	h.take(first, newer, evidence{fromAnswer, 0})
 	if h.take(first, reportOf("n-1", 90, 4, runningTask("req-1/0", 5)), evidence{fromReport, 0}) || j.waiting() != 1 {
 		t.Fatal("an attempt of an earlier session is taken to be on the machine")
@@ -235,7 +235,7 @@
 	if killsOf(h, first, 5) != 1 {
 		t.Fatal("it is not told to stop")
 	}
-	show(h, first, 2, api.TaskView{Task: "req-1/0", Attempt: 5, State: api.TaskSaving})
+	show(h, first, 2, api.TaskStatus{Task: "req-1/0", Attempt: 5, State: api.TaskSaving})
 	h.pass()
 	if j.waiting() != 0 || !second.empty() {
 		t.Fatal("it is started elsewhere while it saves")
--- a/internal/block/bench_test.go
+++ b/internal/block/bench_test.go
@@ -12,18 +12,18 @@
 // BenchmarkReport reads and takes in the report of a machine with 32 tasks.
 func BenchmarkReport(b *testing.B) {
 	h, m := testHolder()
-	rep := api.Report{Machine: "n-1", Addr: "10.1.0.1:9000", Type: "large", Zone: "a", Season: 1, Term: 7}
+	rep := api.Report{Machine: "n-1", Addr: "10.1.0.1:9000", Type: "large", Zone: "a", Session: 1, Term: 7}
 	for i := range 32 {
-		rep.Tasks = append(rep.Tasks, api.TaskView{Task: fmt.Sprintf("req-000001/%d", i), Attempt: 9, State: api.TaskRunning})
+		rep.Tasks = append(rep.Tasks, api.TaskStatus{Task: fmt.Sprintf("req-000001/%d", i), Attempt: 9, State: api.TaskRunning})
 	}
 	for b.Loop() {
-		rep.Tally++
+		rep.Sequence++
 		raw, _ := json.Marshal(rep)
 		var got api.Report
 		if err := api.Decode(raw, &got); err != nil {
 			b.Fatal(err)
 		}
-		h.take(m, &got, evidence{fromReport, core.Time(rep.Tally)})
+		h.take(m, &got, evidence{fromReport, core.Time(rep.Sequence)})
 	}
 	if len(m.slots) != 32 {
 		b.Fatal(len(m.slots))
--- a/internal/block/candidates.go
+++ b/internal/block/candidates.go
@@ -103,11 +103,11 @@
 	p := placement.NewJob(j.id, j.at, j.spec)
 	p.Rank, p.Waiting, p.Guaranteed = j.rank, j.waiting(), guaranteed
 	p.ExcludedMachines = h.avoided(j, now)
-	if capacity.MissesObjectives(h.Config.Aims, j.spec, j.sent, j.at, wall) {
-		p.MissedDueTimes = len(h.Config.Aims)
+	if capacity.MissesObjectives(h.Config.Objectives, j.spec, j.sent, j.at, wall) {
+		p.MissedDueTimes = len(h.Config.Objectives)
 	}
-	p.TimeSensitive = guaranteed || j.due > 0 || capacity.TimeSensitive(h.Config.Aims, j.spec)
-	p.Timing = placement.Timing{Due: capacity.DueTimes(h.Config.Aims, j.spec, j.sent, j.at, j.due), Work: j.work()}
+	p.TimeSensitive = guaranteed || j.due > 0 || capacity.TimeSensitive(h.Config.Objectives, j.spec)
+	p.Timing = placement.Timing{Due: capacity.DueTimes(h.Config.Objectives, j.spec, j.sent, j.at, j.due), Work: j.work()}
 	p.Starvation = j.starvation(now)
 	p.Failing = j.probing()
 	if p.Overdue = capacity.Overdue(j.at, wall, j.begun()); p.Overdue {
@@ -147,7 +147,7 @@
 func (h *Holder) zones() map[core.JobID]map[string]int {
 	out := map[core.JobID]map[string]int{}
 	for id, j := range h.jobs {
-		if j.spec.OneZone || j.spec.Scatter {
+		if j.spec.OneZone || j.spec.SpreadZones {
 			out[id] = map[string]int{}
 		}
 	}
--- a/internal/block/dependency_test.go
+++ b/internal/block/dependency_test.go
@@ -48,16 +48,16 @@
 	loop := &storeLoop{}
 	log := slog.New(slog.DiscardHandler)
 	cfg := &config.Config{
-		Host: "stalk-0", Workers: config.Workers{Report: time.Second, Lease: 10 * time.Second, Cancel: 35 * time.Second},
-		StateLim: config.StateLimits{RPS: 100, WriteRPS: 40, ValueBytes: 8 << 10, TxnOps: 32},
-		Teams:    []config.Team{{Name: "red", CPUs: 20, CPUsMax: 100}},
+		Host: "stalk-0", Workers: config.WorkerTimings{Report: time.Second, Lease: 10 * time.Second, Cancel: 35 * time.Second},
+		StateLimits: config.StateLimits{RPS: 100, WriteRPS: 40, ValueBytes: 8 << 10, TxnOps: 32},
+		Teams:       []config.Team{{Name: "red", CPUs: 20, CPUsMax: 100}},
 	}
 	record := state.Block{Holder: cfg.Host, Term: 7, Teams: []string{"red"}}
 	loop.put(state.KeyBlock(0), record)
 	for _, j := range jobs {
 		loop.put(state.KeyJob(core.JobID(j.Spec.ID)), j)
 	}
-	client := state.NewClient(loop, loop, "", cfg.StateLim, 3)
+	client := state.NewClient(loop, loop, "", cfg.StateLimits, 3)
 	mirror := state.NewMirror(loop, client, log)
 	mirror.Start()
 	if !mirror.Complete() {
@@ -72,7 +72,7 @@
 // recordOf is the record of an accepted job of ten tasks of one CPU.
 func recordOf(id, rank string, at core.WallTime, dependencies ...string) state.Job {
 	spec := &api.Job{ID: id, Team: "red", Form: api.FormArray, Rank: rank, Tasks: 10, CPUs: 1, MemoryGB: 1, EstimateS: 10, Dependencies: dependencies}
-	return state.Job{Phase: state.JobAccepted, Tasks: 10, At: at, Team: "red", CPUs: 1, MemoryGB: 1, Spec: spec}
+	return state.Job{Phase: state.JobAccepted, Tasks: 10, AcceptedAt: at, Team: "red", CPUs: 1, MemoryGB: 1, Spec: spec}
 }
 
 // A job that waits for others has no waiting task, no place in the queue and no part of its
--- a/internal/block/follow.go
+++ b/internal/block/follow.go
@@ -9,7 +9,7 @@
 )
 
 // ApplyChanges takes in what has changed in the mirror.
-func (h *Holder) ApplyChanges(t state.Touched) {
+func (h *Holder) ApplyChanges(t state.ChangeSet) {
 	if h.state == released {
 		return
 	}
@@ -39,7 +39,7 @@
 		if m == nil {
 			m = h.addMachine(r, now)
 		}
-		m.up, m.asked, m.lost, m.term = r.Up, r.Asked, r.Lost, max(m.term, r.Term)
+		m.up, m.asked, m.lost, m.term = r.InUse, r.Draining, r.ReturnRequested, max(m.term, r.Term)
 	}
 	for _, id := range core.SortedKeys(h.machines) {
 		m := h.machines[id]
@@ -53,7 +53,7 @@
 		}
 	}
 	for p := range h.Mirror.Inventory(state.PoolInventory).All() {
-		if m := h.machines[p.ID]; m != nil && p.Fate == state.Gone && m.state != lapsed {
+		if m := h.machines[p.ID]; m != nil && p.PoolState == state.PoolGone && m.state != lapsed {
 			// The cloud has answered 200 to its return: it and all on it are gone.
 			h.clearMachine(m, releaseReturned)
 			h.moveMachine(m, lapsed)
@@ -70,7 +70,7 @@
 		typ:      r.Type,
 		zone:     r.Zone,
 		spot:     r.Spot,
-		up:       r.Up,
+		up:       r.InUse,
 		term:     r.Term,
 		joined:   now,
 		idle:     now,
@@ -78,7 +78,7 @@
 		images:   map[string]bool{},
 		slots:    map[slotKey]*slot{},
 	}
-	if r.Up {
+	if r.InUse {
 		m.state = unsure
 		// Any holder before us may have answered it until its own time without contact
 		// was over.
@@ -103,7 +103,7 @@
 		return
 	}
 	j := h.jobs[id]
-	if e.Over() {
+	if e.Finished() {
 		if j != nil {
 			h.dropPlans(j)
 			delete(h.jobs, id)
@@ -126,7 +126,7 @@
 			h.Log.Info("all jobs before it are done", "job", id, "waited_ms", at-j.sent)
 		}
 	}
-	j.rank, j.due = max(j.rank, e.Urgency.Rank), e.Urgency.Due
+	j.rank, j.due = max(j.rank, e.Urgency.Rank), e.Urgency.Deadline
 	j.done.Union(e.Done)
 	if !j.pending.Empty() {
 		j.pending = without(j.pending, e.Done)
@@ -137,8 +137,8 @@
 func (h *Holder) addJob(id core.JobID, e *state.JobEntry) *job {
 	j := &job{
 		id:        id,
-		at:        e.At,
-		sent:      e.At,
+		at:        e.AcceptedAt,
+		sent:      e.AcceptedAt,
 		blocked:   true,
 		spec:      e.Spec,
 		rank:      placement.Rank(e.Spec.Rank),
--- a/internal/block/history_test.go
+++ b/internal/block/history_test.go
@@ -19,16 +19,16 @@
 	random  *rand.Rand
 	gang    bool
 	tasks   int
-	now     map[core.MachineID]map[slotKey]api.TaskView
+	now     map[core.MachineID]map[slotKey]api.TaskStatus
 	tally   map[core.MachineID]uint64
 	reports []*api.Report
 	attempt core.Attempt
 }
 
 func newHistory(random *rand.Rand, gang bool, tasks, machines int) *history {
-	x := &history{random: random, gang: gang, tasks: tasks, now: map[core.MachineID]map[slotKey]api.TaskView{}, tally: map[core.MachineID]uint64{}}
+	x := &history{random: random, gang: gang, tasks: tasks, now: map[core.MachineID]map[slotKey]api.TaskStatus{}, tally: map[core.MachineID]uint64{}}
 	for i := range machines {
-		x.now[core.MachineID(fmt.Sprintf("n-%d", i+1))] = map[slotKey]api.TaskView{}
+		x.now[core.MachineID(fmt.Sprintf("n-%d", i+1))] = map[slotKey]api.TaskStatus{}
 	}
 	return x
 }
@@ -69,7 +69,7 @@
 func (x *history) change(index int, number core.Attempt) {
 	machine, key, ok := x.on(index)
 	if ok {
-		x.now[machine][key] = api.TaskView{Task: key.task.String(), Attempt: uint64(key.attempt), State: api.TaskExited, Cause: api.CausePeers}
+		x.now[machine][key] = api.TaskStatus{Task: key.task.String(), Attempt: uint64(key.attempt), State: api.TaskExited, Cause: api.CausePeers}
 	} else {
 		machines := core.SortedKeys(x.now)
 		machine = machines[x.random.IntN(len(machines))]
@@ -88,7 +88,7 @@
 // report is what a machine would send now, having seen a term.
 func (x *history) report(machine core.MachineID, term uint64) *api.Report {
 	x.tally[machine]++
-	var views []api.TaskView
+	var views []api.TaskStatus
 	for _, k := range x.keys(machine) {
 		views = append(views, x.now[machine][k])
 	}
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -139,19 +139,19 @@
 // maxSilence is how long a holder may go on without contact to the state
 // service: a cancellation accepted elsewhere must still take effect in time,
 // which needs the workers' leases to run out before its deadline.
-func maxSilence(w config.Workers) time.Duration {
+func maxSilence(w config.WorkerTimings) time.Duration {
 	return w.Cancel - w.Lease - 2*margin - time.Duration(float64(w.Cancel)*2*core.MaxClockDrift) - time.Second
 }
 
 // MayAnswerWorkers tells whether we may still answer workers.
 func (h *Holder) MayAnswerWorkers() bool {
-	at, ok := h.Mirror.Contact()
+	at, ok := h.Mirror.FreshAsOf()
 	return h.state != released && ok && h.Loop.Now().Sub(at) < maxSilence(h.Config.Workers)
 }
 
 // sole is the last time at which the block is proven to have been ours alone.
 func (h *Holder) sole() core.Time {
-	at, ok := h.Mirror.Contact()
+	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
 		return h.at
 	}
@@ -160,7 +160,7 @@
 
 // sinceProof is how long ago the mirror was last proven to show everything.
 func (h *Holder) sinceProof() time.Duration {
-	at, ok := h.Mirror.Contact()
+	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
 		return -1
 	}
--- a/internal/block/holder_test.go
+++ b/internal/block/holder_test.go
@@ -27,8 +27,8 @@
 func testHolder() (*Holder, *machine) {
 	loop := &stillLoop{}
 	log := slog.New(slog.DiscardHandler)
-	cfg := &config.Config{Workers: config.Workers{Report: time.Second, Lease: 10 * time.Second, Cancel: 35 * time.Second}, StateLim: config.StateLimits{RPS: 100, WriteRPS: 40, ValueBytes: 8 << 10, TxnOps: 32}}
-	client := state.NewClient(loop, loop, "", cfg.StateLim, 3)
+	cfg := &config.Config{Workers: config.WorkerTimings{Report: time.Second, Lease: 10 * time.Second, Cancel: 35 * time.Second}, StateLimits: config.StateLimits{RPS: 100, WriteRPS: 40, ValueBytes: 8 << 10, TxnOps: 32}}
+	client := state.NewClient(loop, loop, "", cfg.StateLimits, 3)
 	m := &machine{id: "n-1", state: live, fenced: true, up: true, images: map[string]bool{}, slots: map[slotKey]*slot{}}
 	h := &Holder{
 		Env:  Env{Loop: loop, Log: log, Config: cfg, Mirror: state.NewMirror(loop, client, log), State: client, Workers: worker.NewClient(loop), Metrics: metrics.New()},
@@ -43,10 +43,10 @@
 func TestLateCopy(t *testing.T) {
 	h, m := testHolder()
 	loop := h.Loop.(*stillLoop)
-	report := func(tally uint64, tasks ...api.TaskView) *api.Report {
-		return &api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: tally, Term: 7, Tasks: tasks}
+	report := func(tally uint64, tasks ...api.TaskStatus) *api.Report {
+		return &api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Session: 1, Sequence: tally, Term: 7, Tasks: tasks}
 	}
-	task := api.TaskView{Task: "req-1/0", Attempt: 1, State: api.TaskRunning}
+	task := api.TaskStatus{Task: "req-1/0", Attempt: 1, State: api.TaskRunning}
 	h.take(m, report(10, task), evidence{fromReport, 0})
 	old := report(5)
 	if h.lateCopy(m, old, loop.now.Add(time.Second)) {
@@ -64,14 +64,14 @@
 // not reach it: it gets no work until it has answered a command.
 func TestUnreachableMachineGetsNoWork(t *testing.T) {
 	h, m := testHolder()
-	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Season: 1, Tally: 1, Term: 7}, evidence{fromReport, 0})
+	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: 1, Term: 7}, evidence{fromReport, 0})
 	s := &slot{slotKey: slotKey{core.TaskID{Job: "req-1"}, 3}, machine: m, state: starting, sentSeason: 1, sentTally: 1}
 	m.add(s)
-	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Season: 1, Tally: 2, Term: 7}, evidence{fromReport, 1})
+	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: 2, Term: 7}, evidence{fromReport, 1})
 	if !m.empty() || !m.unreachable || h.ready(m) {
 		t.Fatalf("after a start that did not arrive: %d slots, unreachable %v", len(m.slots), m.unreachable)
 	}
-	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Season: 1, Tally: 3, Term: 7}, evidence{fromAnswer, 2})
+	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: 3, Term: 7}, evidence{fromAnswer, 2})
 	if m.unreachable || !h.ready(m) {
 		t.Fatal("it answered a command and still counts as unreachable")
 	}
@@ -111,14 +111,14 @@
 }
 
 func (l *directLoop) Call(r core.Request, done func(core.Response)) {
-	d := api.Direct{Term: 9} // what a question finds
+	d := api.CommandRequest{Term: 9} // what a question finds
 	if r.Path == "/do" {
-		if json.Unmarshal(r.Body, &d) != nil || len(d.Orders) > 0 {
+		if json.Unmarshal(r.Body, &d) != nil || len(d.Commands) > 0 {
 			return
 		}
 		l.shown = append(l.shown, d.Term)
 	}
-	raw, _ := json.Marshal(api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 50 + uint64(len(l.shown)), Term: d.Term})
+	raw, _ := json.Marshal(api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Session: 1, Sequence: 50 + uint64(len(l.shown)), Term: d.Term})
 	done(core.Response{Status: 200, Body: raw})
 }
 
@@ -241,7 +241,7 @@
 	h.Types = func() map[string]api.MachineType { return nil }
 	h.jobs["req-1"] = &job{id: "req-1", spec: &api.Job{Tasks: 2}, failed: map[core.MachineID]bool{}}
 	clears := func(tally uint64, cause string) (n int) {
-		h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Season: 1, Tally: tally, Term: 7, Tasks: []api.TaskView{{Task: "req-1/0", Attempt: 3, State: api.TaskExited, Cause: cause}}}, evidence{fromReport, h.Loop.Now()})
+		h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: tally, Term: 7, Tasks: []api.TaskStatus{{Task: "req-1/0", Attempt: 3, State: api.TaskExited, Cause: cause}}}, evidence{fromReport, h.Loop.Now()})
 		for _, o := range h.orders(m) {
 			if o.Verb == api.VerbClear {
 				n++
@@ -274,10 +274,10 @@
 	t.Helper()
 	h, m := testHolder()
 	loop := &proofLoop{}
-	h.Loop, h.State = loop, state.NewClient(loop, loop, "", h.Config.StateLim, 3)
+	h.Loop, h.State = loop, state.NewClient(loop, loop, "", h.Config.StateLimits, 3)
 	h.Mirror = state.NewMirror(loop, h.State, h.Log)
 	h.Mirror.Start()
-	h.Mirror.Fresh(func(bool) {})
+	h.Mirror.ConfirmFresh(func(bool) {})
 	if !h.MayAnswerWorkers() {
 		t.Fatal("no proof")
 	}
@@ -290,10 +290,10 @@
 	for _, tc := range []struct {
 		later    time.Duration
 		answered bool
-	}{{time.Second, true}, {maxSilence(config.Workers{Lease: 10 * time.Second, Cancel: 35 * time.Second}) + time.Millisecond, false}} {
+	}{{time.Second, true}, {maxSilence(config.WorkerTimings{Lease: 10 * time.Second, Cancel: 35 * time.Second}) + time.Millisecond, false}} {
 		h, m, loop := provenHolder(t)
 		got, ok := 0, false
-		h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 1, Term: 7}, func(_ api.ReportAnswer, yes bool) {
+		h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Session: 1, Sequence: 1, Term: 7}, func(_ api.ReportResponse, yes bool) {
 			got++
 			ok = yes
 		})
@@ -305,7 +305,7 @@
 		if got != 1 || ok != tc.answered {
 			t.Errorf("after %s: %d answers, one that renews the lease: %v", tc.later, got, ok)
 		}
-		h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 2, Term: 7}, func(_ api.ReportAnswer, yes bool) { ok = yes })
+		h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Session: 1, Sequence: 2, Term: 7}, func(_ api.ReportResponse, yes bool) { ok = yes })
 		h.flush(m)
 		if ok != tc.answered {
 			t.Errorf("after %s a new report is answered: %v", tc.later, ok)
@@ -316,10 +316,10 @@
 // A late copy of a report gets no answer that would count as one to its machine.
 func TestLateCopyIsNotAnswered(t *testing.T) {
 	h, m, loop := provenHolder(t)
-	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Season: 1, Tally: 9, Term: 7}, evidence{fromReport, loop.now})
+	h.take(m, &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: 9, Term: 7}, evidence{fromReport, loop.now})
 	loop.now = loop.now.Add(8 * time.Second)
 	ok := true
-	h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Season: 1, Tally: 4, Term: 7}, func(_ api.ReportAnswer, yes bool) { ok = yes })
+	h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Session: 1, Sequence: 4, Term: 7}, func(_ api.ReportResponse, yes bool) { ok = yes })
 	if ok || m.answer != 0 || m.held != nil {
 		t.Fatalf("answered %v, counts as answered at %v", ok, m.answer)
 	}
@@ -333,7 +333,7 @@
 	m.reported, m.unreachable = loop.now.Add(time.Second), true
 	loop.now = loop.now.Add(20 * time.Second)
 	answer := func(tally uint64) *api.Report {
-		return &api.Report{Machine: "n-1", Addr: "x:1", Season: 1, Tally: tally, Term: 7}
+		return &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: tally, Term: 7}
 	}
 	h.take(m, answer(1), evidence{fromAnswer, loop.now})
 	if !m.unreachable || h.ready(m) {
@@ -351,7 +351,7 @@
 // the job's team is reached: those machines stood idle while other blocks had work.
 func TestMachineIsNotHeldForATeamAtItsLimit(t *testing.T) {
 	h, m := testHolder()
-	h.Config.Operator.Idle = 20 * time.Second
+	h.Config.Operator.IdleTimeout = 20 * time.Second
 	m.total, m.idle = placement.Resources{CPUs: 8, MemoryGB: 8}, 1
 	now := core.Time(5 * time.Second)
 	h.jobs["req-1"] = &job{id: "req-1", spec: &api.Job{Form: api.FormArray, Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1}, need: placement.Resources{CPUs: 1, MemoryGB: 1}}
--- a/internal/block/machine.go
+++ b/internal/block/machine.go
@@ -74,7 +74,9 @@
 
 // held is a report whose answer is kept back for a moment: a worker with
 // nothing to do learns of a start at once, instead of with its next report.
-type held struct{ done func(api.ReportAnswer, bool) }
+type held struct {
+	done func(api.ReportResponse, bool)
+}
 
 func (m *machine) booked() placement.Resources {
 	var n placement.Resources
--- a/internal/block/preempt.go
+++ b/internal/block/preempt.go
@@ -191,7 +191,7 @@
 		return
 	}
 	for _, s := range m.list() {
-		if j := h.jobs[s.task.Job]; h.yields(s, placement.Rank(api.RankStandard), now) && !capacity.TimeSensitive(h.Config.Aims, j.spec) {
+		if j := h.jobs[s.task.Job]; h.yields(s, placement.Rank(api.RankStandard), now) && !capacity.TimeSensitive(h.Config.Objectives, j.spec) {
 			h.Log.Info("task is stopped, its machine is asked back", "task", s.task.String(), "attempt", s.attempt, "machine", m.id)
 			h.end(s, stopMachineDue)
 		}
--- a/internal/block/prompt.go
+++ b/internal/block/prompt.go
@@ -39,7 +39,7 @@
 		If:   []api.Condition{{Key: state.KeyBlock(h.number), Version: uint64(b.Version)}, {Key: state.KeyTerm, Version: uint64(c.Version)}},
 		Then: []api.Change{state.Put(state.KeyTerm, state.TermCounter{Last: c.Record.Last + termStock})},
 	}
-	h.State.TxnLater(t, func(r state.Result) {
+	h.State.TxnLowPriority(t, func(r state.Result) {
 		if r.Outcome == state.Applied {
 			h.reservedTerms.next, h.reservedTerms.last, h.reservedTerms.short = c.Record.Last+1, c.Record.Last+termStock, false
 		}
--- a/internal/block/reasons.go
+++ b/internal/block/reasons.go
@@ -72,7 +72,7 @@
 
 // noteMessage counts a worker's message and logs what became of it.
 func (h *Holder) noteMessage(m *machine, from source, result messageResult, season core.Session, tally core.Sequence) {
-	h.Metrics.Reports.WithLabelValues(string(from), string(result)).Inc()
+	h.Metrics.WorkerMessages.WithLabelValues(string(from), string(result)).Inc()
 	if result != messageTaken {
 		h.Log.Debug("message of a worker is not taken in", "machine", m.id, "source", from, "result", result, "season", season, "tally", tally, "known_season", m.season, "known_tally", m.tally)
 	}
@@ -82,7 +82,7 @@
 // attempts of a task at a time are worth a line at any level: one of them is gone already,
 // or a rule is broken.
 func (h *Holder) noteLearnt(s *slot, from evidence, others []*slot) {
-	h.Metrics.Learnt.WithLabelValues(string(from.source)).Inc()
+	h.Metrics.Discovered.WithLabelValues(string(from.source)).Inc()
 	attributes := []any{
 		"task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "state", s.state.String(),
 		"source", from.source, "season", s.machine.season, "tally", s.machine.tally, "fenced", s.machine.fenced,
--- a/internal/block/recovery.go
+++ b/internal/block/recovery.go
@@ -28,7 +28,7 @@
 		}
 		m.unheeded = 0
 		h.take(m, rep, evidence{fromAnswer, asked})
-		if again && core.Session(rep.Season) > m.floor && core.Term(rep.Term) < h.termOf(m) {
+		if again && core.Session(rep.Session) > m.floor && core.Term(rep.Term) < h.termOf(m) {
 			// A worker that sees a higher term reports at once, and so comes to
 			// us, instead of with its next report some seconds later.
 			h.show(m, done)
--- a/internal/block/reports.go
+++ b/internal/block/reports.go
@@ -15,7 +15,7 @@
 // answered: copies that kept coming put off the time at which the lease of a
 // dead machine had surely run out.
 func (h *Holder) lateCopy(m *machine, rep *api.Report, now core.Time) bool {
-	return m.season > 0 && !core.Newer(core.Session(rep.Season), core.Sequence(rep.Tally), m.season, m.tally) &&
+	return m.season > 0 && !core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), m.season, m.tally) &&
 		now > m.heard.Add(core.WithDrift(answerDrop)+margin)
 }
 
@@ -38,7 +38,7 @@
 // whether the message was news.
 func (h *Holder) take(m *machine, rep *api.Report, from evidence) bool {
 	now := h.Loop.Now()
-	season, tally := core.Session(rep.Season), core.Sequence(rep.Tally)
+	season, tally := core.Session(rep.Session), core.Sequence(rep.Sequence)
 	if season <= m.floor || !core.Newer(season, tally, m.season, m.tally) {
 		h.noteMessage(m, from.source, messageOld, season, tally)
 		return false
@@ -138,7 +138,7 @@
 // executed. A start sent in an answer is settled by the next report, since a worker has one
 // report in flight; a direct message says so only once the answer would have been dropped.
 func (h *Holder) startSettled(s *slot, rep *api.Report, from evidence) bool {
-	if from.source == fromReport && core.Newer(core.Session(rep.Season), core.Sequence(rep.Tally), s.sentSeason, s.sentTally) {
+	if from.source == fromReport && core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), s.sentSeason, s.sentTally) {
 		return true
 	}
 	return from.asked > s.sentAt.Add(core.WithDrift(answerDrop)+margin)
@@ -161,7 +161,7 @@
 }
 
 // see takes in one task of a report.
-func (h *Holder) see(m *machine, key slotKey, view api.TaskView, from evidence) {
+func (h *Holder) see(m *machine, key slotKey, view api.TaskStatus, from evidence) {
 	j := h.jobs[key.task.Job]
 	if j != nil && key.task.Index >= j.spec.Tasks {
 		j = nil
@@ -188,7 +188,7 @@
 }
 
 // discover books an attempt that a report shows and nobody told us of.
-func (h *Holder) discover(m *machine, key slotKey, view api.TaskView, j *job, from evidence) *slot {
+func (h *Holder) discover(m *machine, key slotKey, view api.TaskStatus, j *job, from evidence) *slot {
 	now := h.Loop.Now()
 	s := &slot{slotKey: key, machine: m, state: present, ends: now}
 	if e := h.Mirror.Jobs[key.task.Job]; e != nil {
@@ -236,7 +236,7 @@
 }
 
 // takeExit takes in that an attempt has ended. j is nil if its job is not ours to finish.
-func (h *Holder) takeExit(s *slot, j *job, view api.TaskView) {
+func (h *Holder) takeExit(s *slot, j *job, view api.TaskStatus) {
 	s.cause = view.Cause
 	h.dirty = true
 	if j != nil && view.Cause == api.CauseDone {
--- a/internal/block/rounds.go
+++ b/internal/block/rounds.go
@@ -28,11 +28,11 @@
 func (h *Holder) writeDone(t *api.Txn) {
 	room := h.batch() - len(t.Then)
 	size := 0
-	round := state.Round{Done: map[core.JobID]core.IndexSet{}}
-	limit := h.Config.StateLim.ValueBytes - valueMargin
+	round := state.CompletionBatch{Done: map[core.JobID]core.IndexSet{}}
+	limit := h.Config.StateLimits.ValueBytes - valueMargin
 	for _, id := range core.SortedKeys(h.jobs) {
 		j, e := h.jobs[id], h.Mirror.Jobs[id]
-		if e == nil || e.Over() || j.pending.Empty() && j.done.Len() < j.spec.Tasks {
+		if e == nil || e.Finished() || j.pending.Empty() && j.done.Len() < j.spec.Tasks {
 			continue
 		}
 		if j.done.Len() >= j.spec.Tasks {
@@ -68,9 +68,9 @@
 }
 
 // writeRound adds a round under a name that is not used again.
-func (h *Holder) writeRound(t *api.Txn, round state.Round) {
+func (h *Holder) writeRound(t *api.Txn, round state.CompletionBatch) {
 	h.round++
-	t.Then = append(t.Then, state.Put(state.KeyRound(h.number, h.term, h.round), round))
+	t.Then = append(t.Then, state.Put(state.KeyCompletionBatch(h.number, h.term, h.round), round))
 }
 
 // entrySize is about what a job's tasks take in a round.
@@ -82,13 +82,13 @@
 // prune removes rounds that speak only of jobs that are over, and melts many
 // small ones into one.
 func (h *Holder) prune(t *api.Txn, room int) {
-	rounds := h.Mirror.Rounds[h.number]
+	rounds := h.Mirror.CompletionBatches[h.number]
 	if len(rounds) < fewRounds || room < roomForPruning {
 		return
 	}
 	removed, size := 0, 0
-	limit := h.Config.StateLim.ValueBytes - valueMargin
-	merged := state.Round{Done: map[core.JobID]core.IndexSet{}}
+	limit := h.Config.StateLimits.ValueBytes - valueMargin
+	merged := state.CompletionBatch{Done: map[core.JobID]core.IndexSet{}}
 	for _, key := range core.SortedKeys(rounds) {
 		if removed >= min(room-1, maxPruned) {
 			break
@@ -116,10 +116,10 @@
 }
 
 // openEntries returns what a round says of jobs that are not over.
-func (h *Holder) openEntries(round *state.Round) map[core.JobID]core.IndexSet {
+func (h *Holder) openEntries(round *state.CompletionBatch) map[core.JobID]core.IndexSet {
 	open := map[core.JobID]core.IndexSet{}
 	for id, tasks := range round.Done {
-		if e := h.Mirror.Jobs[id]; e != nil && !e.Over() {
+		if e := h.Mirror.Jobs[id]; e != nil && !e.Finished() {
 			open[id] = tasks
 		}
 	}
--- a/internal/block/write.go
+++ b/internal/block/write.go
@@ -36,7 +36,7 @@
 		return
 	}
 	h.writing = true
-	h.State.TxnLater(t, func(r state.Result) {
+	h.State.TxnLowPriority(t, func(r state.Result) {
 		next := func(bool) {
 			h.Loop.After(roundPause/2, func() {
 				h.writing = false
@@ -45,26 +45,26 @@
 		}
 		switch r.Outcome {
 		case state.Applied:
-			h.Mirror.Await(r.Revision, next)
+			h.Mirror.WaitFor(r.Revision, next)
 		case state.Refused:
 			h.Loop.After(500*time.Millisecond, func() { next(false) })
 		default:
 			// It may have been carried out, or still be: look again before
 			// deciding anything.
 			h.Log.Info("write not confirmed", "outcome", r.Outcome.String(), "failed", r.Failed)
-			h.Mirror.Fresh(next)
+			h.Mirror.ConfirmFresh(next)
 		}
 	})
 }
 
 // batch is how many changes a transaction may have.
-func (h *Holder) batch() int { return h.State.Batch(min(h.Config.StateLim.TxnOps, maxBatch)) }
+func (h *Holder) batch() int { return h.State.BatchSize(min(h.Config.StateLimits.TxnOps, maxBatch)) }
 
 // writeMachines adds what is to change in the records of the block's machines.
 func (h *Holder) writeMachines(t *api.Txn) {
 	now := h.Loop.Now()
 	own, pool := h.Mirror.Inventory(h.number), h.Mirror.Inventory(state.PoolInventory)
-	edit := h.Mirror.Edit(h.Config.StateLim, max(h.batch()/2, 2), h.number+1)
+	edit := h.Mirror.Edit(h.Config.StateLimits, max(h.batch()/2, 2), h.number+1)
 	for record := range own.All() {
 		m := h.machines[record.ID]
 		if m == nil {
@@ -72,7 +72,7 @@
 		}
 		version := own.VersionOf(record.ID)
 		switch p, ok := pool.Find(record.ID); {
-		case ok && p.Fate == state.Gone && m.empty():
+		case ok && p.PoolState == state.PoolGone && m.empty():
 			edit.Remove(h.number, record.ID) // it is gone; the leader forgets it once no block lists it
 		case h.mayLeave(m, version, now):
 			h.release(edit, m, record, version)
@@ -94,8 +94,8 @@
 
 // release moves a machine's record to the pool.
 func (h *Holder) release(edit *state.Edit, m *machine, record state.Machine, version core.Revision) {
-	record.Up, record.Asked, record.Doomed, record.Term = false, false, false, 0
-	record.Addr, record.Seen = m.addr, h.termOf(m)
+	record.InUse, record.Draining, record.Expiring, record.Term = false, false, false, 0
+	record.Addr, record.LastTerm = m.addr, h.termOf(m)
 	if edit.Move(h.number, state.PoolInventory, record) {
 		h.Log.Info("machine goes to the pool", "machine", m.id, "asked", m.asked)
 		m.leaving = version
@@ -106,16 +106,16 @@
 func (h *Holder) writeMachine(edit *state.Edit, m *machine, record state.Machine, version core.Revision, now core.Time) {
 	was := record
 	if !m.up && !m.empty() || m.up && m.addr != "" && record.Addr != m.addr {
-		record.Up, record.Addr = true, m.addr
+		record.InUse, record.Addr = true, m.addr
 	}
-	if m.state == lapsed && m.empty() && record.Up {
+	if m.state == lapsed && m.empty() && record.InUse {
 		// Nothing can be on it: a later holder need not wait for it.
-		record.Up = false
+		record.InUse = false
 		m.lowering = version
 	}
-	record.Lost = record.Lost || h.shouldReturn(m, now)
-	record.Doomed = m.notice != 0 || m.state == lapsed
-	if record != was && edit.Set(h.number, record) && record.Lost != was.Lost {
+	record.ReturnRequested = record.ReturnRequested || h.shouldReturn(m, now)
+	record.Expiring = m.notice != 0 || m.state == lapsed
+	if record != was && edit.Set(h.number, record) && record.ReturnRequested != was.ReturnRequested {
 		h.Log.Info("machine does not answer; it is to be returned", "machine", m.id, "state", m.state.String())
 	}
 }
@@ -125,7 +125,7 @@
 func (h *Holder) vacant(m *machine) bool {
 	for _, s := range m.slots {
 		e := h.Mirror.Jobs[s.task.Job]
-		if s.booked() || s.cause == api.CauseDone && e != nil && !e.Over() && !e.Done.Has(s.task.Index) {
+		if s.booked() || s.cause == api.CauseDone && e != nil && !e.Finished() && !e.Done.Has(s.task.Index) {
 			return false
 		}
 	}
@@ -140,7 +140,7 @@
 	if m.notice != 0 || m.idle == 0 || now.Sub(m.idle) < releaseIdle {
 		return false
 	}
-	if now.Sub(m.idle) > h.Config.Operator.Idle {
+	if now.Sub(m.idle) > h.Config.Operator.IdleTimeout {
 		return true // whoever waits cannot use it as it is
 	}
 	for _, j := range h.jobs {
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -83,8 +83,8 @@
 // time it takes its place again.
 func TestLate(t *testing.T) {
 	deadline := 100.0
-	aims := []config.Aim{
-		{Kind: "deadline", Class: "x", Times: 1}, {Kind: "deadline", Class: "x", Times: 1.5},
+	aims := []config.Objective{
+		{Kind: "deadline", Class: "x", DeadlineFactor: 1}, {Kind: "deadline", Class: "x", DeadlineFactor: 1.5},
 		{Kind: "wait", Class: "y", Within: 20 * time.Second}, {Kind: "finished", Class: "y", Within: 90 * time.Second},
 	}
 	x := &api.Job{Class: "x", DeadlineS: &deadline, EstimateS: 30}
--- a/internal/capacity/late.go
+++ b/internal/capacity/late.go
@@ -52,7 +52,7 @@
 // one, else those on the time that jobs of its class may take. A deadline counts from
 // sent, when the job was submitted, all else from at, since when it may run. needed is by
 // when jobs that depend on it want it done (0: any time).
-func DueTimes(aims []config.Aim, spec *api.Job, sent, at, needed core.WallTime) (due []core.WallTime) {
+func DueTimes(aims []config.Objective, spec *api.Job, sent, at, needed core.WallTime) (due []core.WallTime) {
 	if spec.Form == api.FormGang {
 		return nil
 	}
@@ -61,7 +61,7 @@
 		switch {
 		case a.Class != spec.Class:
 		case a.Kind == "deadline" && spec.DeadlineS != nil:
-			deadlines = append(deadlines, *spec.DeadlineS*cmp.Or(a.Times, 1))
+			deadlines = append(deadlines, *spec.DeadlineS*cmp.Or(a.DeadlineFactor, 1))
 		case a.Kind == "finished" && spec.DeadlineS == nil:
 			within = append(within, a.Within.Seconds())
 		}
@@ -84,8 +84,8 @@
 
 // TimeSensitive tells whether users have stated by when a job should begin or be complete:
 // by an aim on its class, or by its deadline.
-func TimeSensitive(aims []config.Aim, spec *api.Job) bool {
-	return spec.DeadlineS != nil || slices.ContainsFunc(aims, func(a config.Aim) bool {
+func TimeSensitive(aims []config.Objective, spec *api.Job) bool {
+	return spec.DeadlineS != nil || slices.ContainsFunc(aims, func(a config.Objective) bool {
 		return a.Class == spec.Class && (a.Kind == "wait" || a.Kind == "finished")
 	})
 }
@@ -93,7 +93,7 @@
 // MissesObjectives tells whether a waiting job can no longer meet any of the aims that its
 // users stated for its class, nor its own deadline. Such a job yields to those
 // that can still be in time.
-func MissesObjectives(aims []config.Aim, spec *api.Job, sent, at, now core.WallTime) bool {
+func MissesObjectives(aims []config.Objective, spec *api.Job, sent, at, now core.WallTime) bool {
 	age := time.Duration(now-at) * time.Millisecond
 	if age > lateFor {
 		return false
@@ -109,7 +109,7 @@
 		times := 1.0
 		for _, a := range aims {
 			if a.Kind == "deadline" && a.Class == spec.Class {
-				times = max(times, a.Times)
+				times = max(times, a.DeadlineFactor)
 			}
 		}
 		if !check(time.Duration(float64(deadline)*times) - time.Duration(now-sent)*time.Millisecond - estimate) {
--- a/internal/capacity/shapes.go
+++ b/internal/capacity/shapes.go
@@ -93,7 +93,7 @@
 // GangKinds lists the kinds of machine that are kept for gangs: a gang that came
 // lately fits there, does not fit on some other type that arrays can use, and
 // cannot wait until one boots.
-func (s *GangShapes) GangKinds(now core.Time, aims []config.Aim, types map[string]api.MachineType) GangKinds {
+func (s *GangShapes) GangKinds(now core.Time, aims []config.Objective, types map[string]api.MachineType) GangKinds {
 	out := GangKinds{}
 	for k, seen := range s.seen {
 		if now.Sub(seen.at) > remembered {
@@ -131,7 +131,7 @@
 // canWait tells whether every aim on the start of a class, of which there is at
 // least one, leaves a time. Twice the usual boot time covers the slower boots,
 // the rental and the image.
-func canWait(aims []config.Aim, class string, d time.Duration) bool {
+func canWait(aims []config.Objective, class string, d time.Duration) bool {
 	stated := false
 	for _, a := range aims {
 		if a.Kind == "wait" && a.Class == class {
--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -62,17 +62,17 @@
 	Rented RentOutcome = iota
 	// NoCapacity: there are none of the kind.
 	NoCapacity
-	// NotNow: the request was not taken.
-	NotNow
-	// Unanswered: machines may have been rented, or may still be.
-	Unanswered
+	// Refused: the request was not taken.
+	Refused
+	// Unknown: machines may have been rented, or may still be.
+	Unknown
 )
 
 // Rent asks for machines. The request's name must never have been used before
 // for anything else.
 func (c *Client) Rent(r api.Rental, done func([]string, RentOutcome)) {
 	c.send("POST", "/hosts", r, func(res core.Response) {
-		var a api.MachineNames
+		var a api.MachineIDs
 		var e api.Error
 		switch {
 		case res.Status == 200 && json.Unmarshal(res.Body, &a) == nil:
@@ -80,16 +80,16 @@
 		case res.Status == 503 && json.Unmarshal(res.Body, &e) == nil && e.Error == "no capacity":
 			done(nil, NoCapacity)
 		case res.Status == 0 || res.Status == 200:
-			done(nil, Unanswered)
+			done(nil, Unknown)
 		default:
-			done(nil, NotNow)
+			done(nil, Refused)
 		}
 	})
 }
 
 // Return gives machines back; ok means that they and all on them are gone.
 func (c *Client) Return(ids []string, done func(ok bool)) {
-	c.send("POST", "/hosts/return", api.MachineNames{Machines: ids}, func(r core.Response) { done(r.Status == 200) })
+	c.send("POST", "/hosts/return", api.MachineIDs{Machines: ids}, func(r core.Response) { done(r.Status == 200) })
 }
 
 // List asks for all machines.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,22 +12,22 @@
 
 // Config is everything that a node is told at its start.
 type Config struct {
-	Host     core.Host
-	Zone     string
-	Bind     string
-	PeerBind string
-	Peers    []Peer
-	Cloud    string
-	State    string
-	Nodes    int
-	Zones    []string
-	Teams    []Team
-	Aims     []Aim
-	Workers  Workers
-	StateLim StateLimits
-	CloudLim CloudLimits
-	Limits   Limits
-	Operator Operator
+	Host        core.Host
+	Zone        string
+	Bind        string
+	PeerBind    string
+	Peers       []Peer
+	Cloud       string
+	State       string
+	Nodes       int
+	Zones       []string
+	Teams       []Team
+	Objectives  []Objective
+	Workers     WorkerTimings
+	StateLimits StateLimits
+	CloudLimits CloudLimits
+	Limits      Limits
+	Operator    Operator
 }
 
 // Peer is another controller.
@@ -48,23 +48,23 @@
 // number it can be compared, added and divided like any other limit.
 const Unlimited = 1e12
 
-// Aim is an aim on starting or finishing, as the users stated it.
-type Aim struct {
-	Kind, Class string
-	Within      time.Duration
-	Share       float64
-	Times       float64
+// Objective is an aim on starting or finishing, as the users stated it.
+type Objective struct {
+	Kind, Class    string
+	Within         time.Duration
+	Share          float64
+	DeadlineFactor float64
 }
 
-// Workers holds what workers do by the clock.
-type Workers struct {
+// WorkerTimings holds what workers do by the clock.
+type WorkerTimings struct {
 	Report, Lease, GangWait, GangPeer, Cancel time.Duration
 }
 
-// Hold is how long the answer to a worker with nothing to do may be kept back. Its
+// MaxReportHold is how long the answer to a worker with nothing to do may be kept back. Its
 // lease counts from the sending of the report, and it gives up after four seconds;
 // the longer, the less often a start has to wait for the next report.
-func (w Workers) Hold() time.Duration { return min(3200*time.Millisecond, w.Lease/4) }
+func (w WorkerTimings) MaxReportHold() time.Duration { return min(3200*time.Millisecond, w.Lease/4) }
 
 // StateLimits holds the limits of the state service: the lower of the present and the
 // coming ones.
@@ -90,25 +90,25 @@
 // Sockets for what there is little of: the kept lines to the two services, the
 // lines of the other controllers, listeners and the runtime's own.
 const (
-	PerService  = 16
-	ownSockets  = 2*PerService + 24
-	peerSockets = 3
-	minServer   = 16
-	minCalls    = 8
+	ConnsPerService = 16
+	ownSockets      = 2*ConnsPerService + 24
+	peerSockets     = 3
+	minServer       = 16
+	minCalls        = 8
 )
 
-// Shares divides the sockets: how many connections workers and users may open to
+// ConnectionLimits divides the sockets: how many connections workers and users may open to
 // us, and how many questions to workers may be on their way at once. One
 // controller may be the only one left for a while, with the connection of every
 // worker, so all that is not needed elsewhere goes there.
-func (l Limits) Shares(peers int) (server, calls int) {
+func (l Limits) ConnectionLimits(peers int) (server, calls int) {
 	left := l.Sockets - ownSockets - peerSockets*peers
 	calls = max(left/8, minCalls)
 	return max(left-calls, minServer), calls
 }
 
-// LeastSockets is the limit below which the shares cannot be kept within it.
-func LeastSockets(peers int) int {
+// MinSockets is the limit below which the shares cannot be kept within it.
+func MinSockets(peers int) int {
 	return ownSockets + peerSockets*peers + minServer + minCalls
 }
 
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,7 +56,7 @@
 `
 
 func TestPlatformFile(t *testing.T) {
-	if c, err := parse([]byte(good)); err != nil || c.Workers.Lease != 10*time.Second || c.StateLim.ValueBytes != 16384 || c.Peers[0].Host != "c1" {
+	if c, err := parse([]byte(good)); err != nil || c.Workers.Lease != 10*time.Second || c.StateLimits.ValueBytes != 16384 || c.Peers[0].Host != "c1" {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, tc := range []struct{ old, new, field string }{
@@ -97,10 +97,10 @@
 
 func TestOperatorSettings(t *testing.T) {
 	o, err := parseOperator(nil, 3)
-	if err != nil || o.Blocks != 3 || o.Tenure != 5*time.Second {
+	if err != nil || o.Blocks != 3 || o.LeaseTTL != 5*time.Second {
 		t.Fatalf("%+v, %v", o, err)
 	}
-	if o, err = parseOperator([]byte("tenure_s: 8 # longer\nblocks: 1"), 3); err != nil || o.Blocks != 1 || o.Tenure != 8*time.Second {
+	if o, err = parseOperator([]byte("tenure_s: 8 # longer\nblocks: 1"), 3); err != nil || o.Blocks != 1 || o.LeaseTTL != 8*time.Second {
 		t.Fatalf("%+v, %v", o, err)
 	}
 	for text, want := range map[string]string{
@@ -144,7 +144,7 @@
 times = 1.5
 `
 	c, err := parse([]byte(good + aims))
-	if err != nil || len(c.Aims) != 2 || c.Aims[1].Times != 1.5 {
+	if err != nil || len(c.Objectives) != 2 || c.Objectives[1].DeadlineFactor != 1.5 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	_, err = parse([]byte(good + strings.Replace(aims, "times = 1.5", `times = "soon"`, 1)))
@@ -156,12 +156,12 @@
 // The connections of all workers of a fleet fit into what one controller takes,
 // and the shares never exceed the limit.
 func TestSocketShares(t *testing.T) {
-	for _, c := range []struct{ sockets, peers, machines int }{{1700, 4, 1000}, {1650, 2, 1300}, {500, 2, 300}, {120, 2, 20}, {LeastSockets(4), 4, 16}, {10, 2, 1}} {
-		server, calls := Limits{Sockets: c.sockets}.Shares(c.peers)
+	for _, c := range []struct{ sockets, peers, machines int }{{1700, 4, 1000}, {1650, 2, 1300}, {500, 2, 300}, {120, 2, 20}, {MinSockets(4), 4, 16}, {10, 2, 1}} {
+		server, calls := Limits{Sockets: c.sockets}.ConnectionLimits(c.peers)
 		if server < c.machines || calls < 8 {
 			t.Errorf("%d sockets: %d connections for %d machines, %d calls", c.sockets, server, c.machines, calls)
 		}
-		if c.sockets >= LeastSockets(c.peers) && server+calls+ownSockets+peerSockets*c.peers > c.sockets {
+		if c.sockets >= MinSockets(c.peers) && server+calls+ownSockets+peerSockets*c.peers > c.sockets {
 			t.Errorf("%d sockets: %d and %d are too many", c.sockets, server, calls)
 		}
 	}
@@ -174,10 +174,10 @@
 		return parse([]byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\n"+next+"\n[settings.cloud]", 1)))
 	}
 	c, err := with("write_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 10")
-	if err != nil || c.StateLim.WriteRPS != 28 || c.StateLim.ValueBytes != 2048 || c.StateLim.TxnOps != 10 || c.StateLim.RPS != 100 {
+	if err != nil || c.StateLimits.WriteRPS != 28 || c.StateLimits.ValueBytes != 2048 || c.StateLimits.TxnOps != 10 || c.StateLimits.RPS != 100 {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	if c, err = with("write_rps = 400.0\nfuture = 1"); err != nil || c.StateLim.WriteRPS != 40 || c.StateLim.TxnOps != 32 {
+	if c, err = with("write_rps = 400.0\nfuture = 1"); err != nil || c.StateLimits.WriteRPS != 40 || c.StateLimits.TxnOps != 32 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for next, field := range map[string]string{
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -16,9 +16,9 @@
 
 // Operator holds the operators' own settings with defaults filled in.
 type Operator struct {
-	Tenure      time.Duration
+	LeaseTTL    time.Duration
 	Blocks      int
-	Idle        time.Duration
+	IdleTimeout time.Duration
 	MemoryShare float64
 	RetryAfter  time.Duration
 }
@@ -33,12 +33,12 @@
 		line := 1 + bytes.Count(text[:at[0]], []byte("\n"))
 		return fmt.Errorf("line %d:%d: %s: %s", line, at[0]-bytes.LastIndexByte(text[:at[0]], '\n'), field, problem)
 	}
-	o := Operator{Tenure: 5 * time.Second, Blocks: nodes, Idle: 20 * time.Second, MemoryShare: 0.7, RetryAfter: time.Second}
+	o := Operator{LeaseTTL: 5 * time.Second, Blocks: nodes, IdleTimeout: 20 * time.Second, MemoryShare: 0.7, RetryAfter: time.Second}
 	if pb.TenureS != nil {
 		if !(*pb.TenureS >= 1 && *pb.TenureS <= 600) {
 			return o, refuse("tenure_s", "must be from 1 to 600")
 		}
-		o.Tenure = core.Seconds(*pb.TenureS)
+		o.LeaseTTL = core.Seconds(*pb.TenureS)
 	}
 	if pb.Blocks != nil && *pb.Blocks > 0 {
 		if *pb.Blocks > 1000 {
@@ -50,7 +50,7 @@
 		if !(*pb.IdleS >= 0 && *pb.IdleS <= 86400) {
 			return o, refuse("idle_s", "must be from 0 to 86400")
 		}
-		o.Idle = core.Seconds(*pb.IdleS)
+		o.IdleTimeout = core.Seconds(*pb.IdleS)
 	}
 	if pb.MemoryShare != nil {
 		if !(*pb.MemoryShare > 0 && *pb.MemoryShare <= 1) {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -92,13 +92,13 @@
 		Bind: k.addr("bind", f.Bind), PeerBind: k.addr("peer_listen", f.Peer),
 		Cloud: k.addr("endpoints.cloud", f.Endpoints.Cloud), State: k.addr("endpoints.state", f.Endpoints.State),
 		Nodes: k.whole("settings.count", s.Count), Zones: s.Zones,
-		Workers: Workers{
+		Workers: WorkerTimings{
 			Report: k.seconds("settings.workers.report_s", s.Workers.ReportS), Lease: k.seconds("settings.workers.lease_s", s.Workers.LeaseS),
 			GangWait: k.seconds("settings.workers.gang_wait_s", s.Workers.GangWaitS), GangPeer: k.seconds("settings.workers.gang_peer_s", s.Workers.GangPeerS),
 			Cancel: k.seconds("settings.workers.cancel_s", s.Workers.CancelS),
 		},
-		StateLim: s.State.limits(k),
-		CloudLim: CloudLimits{RPS: k.positive("settings.cloud.rps", s.Cloud.RPS), ListLag: k.seconds("settings.cloud.list_lag_s", s.Cloud.ListLagS)},
+		StateLimits: s.State.limits(k),
+		CloudLimits: CloudLimits{RPS: k.positive("settings.cloud.rps", s.Cloud.RPS), ListLag: k.seconds("settings.cloud.list_lag_s", s.Cloud.ListLagS)},
 		Limits: Limits{
 			CoreShare: k.positive("settings.limits.core_share", s.Limits.CoreShare), MemoryBytes: int64(k.positive("settings.limits.ram_mb", s.Limits.MemoryMB) * (1 << 20)),
 			Sockets: k.whole("settings.limits.fd_limit", s.Limits.Sockets),
@@ -115,7 +115,7 @@
 	}
 	c.Teams = f.teams(k)
 	for _, o := range s.Objectives {
-		c.Aims = append(c.Aims, Aim{o.Kind, o.Class, core.Seconds(o.WithinS), o.Share, o.Times})
+		c.Objectives = append(c.Objectives, Objective{o.Kind, o.Class, core.Seconds(o.WithinS), o.Share, o.Times})
 	}
 	return c, k.err
 }
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -38,7 +38,7 @@
 func New(loop *core.EventLoop, workers int, services ...string) *Caller {
 	c := &Caller{loop: loop, workers: make(chan struct{}, workers), services: map[string]*line{}}
 	for _, addr := range services {
-		c.services[addr] = &line{make(chan struct{}, config.PerService), client(addr, config.PerService)}
+		c.services[addr] = &line{make(chan struct{}, config.ConnsPerService), client(addr, config.ConnsPerService)}
 	}
 	return c
 }
--- a/internal/leader/cloud.go
+++ b/internal/leader/cloud.go
@@ -17,13 +17,13 @@
 func (l *Leader) returnMarked() {
 	pool := l.Mirror.Inventory(state.PoolInventory)
 	for m := range pool.All() {
-		if m.Fate == state.Returning {
+		if m.PoolState == state.PoolReturning {
 			l.sendBack(m.ID)
 		}
 	}
 	for _, n := range core.SortedKeys(l.Mirror.Blocks) {
 		for m := range l.Mirror.Inventory(n).All() {
-			if known, ok := pool.Find(m.ID); m.Lost && (!ok || known.Fate != state.Gone) {
+			if known, ok := pool.Find(m.ID); m.ReturnRequested && (!ok || known.PoolState != state.PoolGone) {
 				l.sendBack(m.ID)
 			}
 		}
@@ -82,7 +82,7 @@
 		}
 		l.seq++
 		l.send(api.Rental{
-			Request: fmt.Sprintf("t%d-%d", l.record.Record.Term, l.seq), Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: min(r.Count, 50),
+			RequestID: fmt.Sprintf("t%d-%d", l.record.Record.Term, l.seq), Type: r.Type, Zone: r.Zone, Spot: r.Spot, Count: min(r.Count, 50),
 		}, r, 0)
 	}
 }
@@ -108,12 +108,12 @@
 		l.rentals++
 	}
 	l.Cloud.Rent(req, func(ids []string, out cloud.RentOutcome) {
-		if out == cloud.Unanswered && tries < 3 && !l.ended {
+		if out == cloud.Unknown && tries < 3 && !l.ended {
 			l.send(req, r, tries+1) // the same request again brings the same answer
 			return
 		}
 		l.rentals--
-		l.Log.Info("rental answered", "request", req.Request, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "wanted", req.Count, "got", len(ids), "outcome", int(out))
+		l.Log.Info("rental answered", "request", req.RequestID, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "wanted", req.Count, "got", len(ids), "outcome", int(out))
 		if out != cloud.Rented || len(ids) < req.Count {
 			l.closed[r.Offer] = l.Loop.Now().Add(closedFor)
 		}
--- a/internal/leader/found.go
+++ b/internal/leader/found.go
@@ -38,11 +38,11 @@
 	if len(live) == 0 {
 		return false
 	}
-	n := min(l.Config.Operator.Blocks, l.Config.StateLim.TxnOps-4, len(l.Config.Teams))
+	n := min(l.Config.Operator.Blocks, l.Config.StateLimits.TxnOps-4, len(l.Config.Teams))
 	first := l.allocateTerms(t, n)
 	for i := range n {
 		m := live[i%len(live)]
-		drafts.changed[i] = &state.Block{Number: i, Holder: m.Host, Tenure: m.Tenure, Term: first + core.Term(i)}
+		drafts.changed[i] = &state.Block{Number: i, Holder: m.Host, LeaseID: m.LeaseID, Term: first + core.Term(i)}
 	}
 	return true
 }
--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -20,7 +20,7 @@
 	}
 	// Controllers that lately did not hear their machines get no blocks as long
 	// as others can take them.
-	if hearing := slices.DeleteFunc(slices.Clone(live), func(m state.Member) bool { return now < l.isolations[m.Tenure].until }); len(hearing) > 0 {
+	if hearing := slices.DeleteFunc(slices.Clone(live), func(m state.Member) bool { return now < l.isolations[m.LeaseID].until }); len(hearing) > 0 {
 		live = hearing
 	}
 	loads := l.loads(live)
@@ -88,7 +88,7 @@
 // movedTo is a block's record with another holder.
 func movedTo(b *state.Block, to state.Member) *state.Block {
 	c := b.Clone()
-	c.Holder, c.Tenure = to.Host, to.Tenure
+	c.Holder, c.LeaseID = to.Host, to.LeaseID
 	return c
 }
 
@@ -97,7 +97,7 @@
 func (l *Leader) moveOrphaned(numbers []int, loads *holderLoads) (moves []*state.Block) {
 	for _, n := range numbers {
 		b := l.Mirror.Blocks[n].Record
-		if l.holds(b) || len(moves) >= l.Config.StateLim.TxnOps-2 {
+		if l.holds(b) || len(moves) >= l.Config.StateLimits.TxnOps-2 {
 			continue
 		}
 		to := loads.fewest()
@@ -152,12 +152,12 @@
 				continue
 			}
 			b := l.Mirror.Blocks[n].Record
-			d := l.isolations[b.Tenure]
+			d := l.isolations[b.LeaseID]
 			if now >= d.until {
 				d.last = min(max(2*d.last, isolationTime), maxIsolationTime)
 			}
 			d.until = now.Add(d.last)
-			l.isolations[b.Tenure] = d
+			l.isolations[b.LeaseID] = d
 			l.note("holder does not hear its machines", "block", n, "holder", b.Holder, "heard_by", host)
 			return []*state.Block{movedTo(b, m)}
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -139,7 +139,7 @@
 		l.listing = true
 		l.Cloud.List(func(ms []api.ListedMachine, ok bool) {
 			l.listing = false
-			l.listed = l.Loop.Now().Add(max(l.Config.CloudLim.ListLag, 3*time.Second))
+			l.listed = l.Loop.Now().Add(max(l.Config.CloudLimits.ListLag, 3*time.Second))
 			if !ok || l.ended {
 				return
 			}
@@ -160,7 +160,7 @@
 	}
 	t := api.Txn{If: []api.Condition{{Key: state.KeyLeader, Version: uint64(l.record.Version)}}}
 	l.notes = nil
-	send := l.State.TxnFirst // what blocks need to be held
+	send := l.State.TxnHighPriority // what blocks need to be held
 	for _, step := range []func(*api.Txn){l.found, l.grant} {
 		if step(&t); len(t.Then) > 0 {
 			break
@@ -187,12 +187,12 @@
 			for _, n := range notes {
 				l.Log.Info(n.text, n.args...)
 			}
-			l.Mirror.Await(r.Revision, next)
+			l.Mirror.WaitFor(r.Revision, next)
 		case state.Refused:
 			l.again = l.Loop.Now().Add(500 * time.Millisecond)
 			next(false)
 		default:
-			l.Mirror.Fresh(func(ok bool) {
+			l.Mirror.ConfirmFresh(func(ok bool) {
 				if !ok {
 					l.again = l.Loop.Now().Add(300 * time.Millisecond)
 				}
@@ -243,7 +243,7 @@
 // holds tells whether a block's holder still has the tenure of its grant.
 func (l *Leader) holds(b *state.Block) bool {
 	m, ok := l.Mirror.Members[b.Holder]
-	return ok && m.Record.Tenure == b.Tenure
+	return ok && m.Record.LeaseID == b.LeaseID
 }
 
 // writeTypes keeps a durable copy of the machine types, so that nodes know
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -17,7 +17,7 @@
 	// Beside the parts, the counters of terms and arrivals may be written.
 	// A larger transaction than a second's worth of changes kept grants waiting for
 	// seconds behind it.
-	edit := l.Mirror.Edit(l.Config.StateLim, l.State.Batch(l.Config.StateLim.TxnOps-2), 0)
+	edit := l.Mirror.Edit(l.Config.StateLimits, l.State.BatchSize(l.Config.StateLimits.TxnOps-2), 0)
 	l.noteGone(edit)
 	l.lookAtList(edit)
 	l.noteRented(edit)
@@ -70,7 +70,7 @@
 			continue
 		}
 		m.Term = terms[n]
-		m.Seen, m.Up, m.Asked, m.Lost, m.Doomed = 0, false, false, false, false
+		m.LastTerm, m.InUse, m.Draining, m.ReturnRequested, m.Expiring = 0, false, false, false, false
 		if !edit.Move(state.PoolInventory, n, m) {
 			break // the rest goes with the next transaction
 		}
@@ -90,7 +90,7 @@
 			continue
 		}
 		m, _ := edit.Find(n, id)
-		m.Asked = true
+		m.Draining = true
 		if edit.Set(n, m) {
 			changed[n] = true
 			l.note("machine is asked back", "machine", id, "block", n)
@@ -103,10 +103,10 @@
 func (l *Leader) markReturned(edit *state.Edit, ids []core.MachineID) {
 	for _, id := range ids {
 		m, ok := edit.Find(state.PoolInventory, id)
-		if !ok || m.Fate != state.Free {
+		if !ok || m.PoolState != state.PoolFree {
 			continue
 		}
-		m.Fate = state.Returning
+		m.PoolState = state.PoolReturning
 		if edit.Set(state.PoolInventory, m) {
 			l.note("machine is returned", "machine", id, "type", m.Type)
 		}
@@ -120,20 +120,20 @@
 	for _, id := range core.SortedKeys(l.done) {
 		m, pooled := edit.Find(state.PoolInventory, id)
 		_, held := l.Mirror.MachineBlock(id)
-		if !pooled && !held || pooled && m.Fate == state.Gone {
+		if !pooled && !held || pooled && m.PoolState == state.PoolGone {
 			delete(l.done, id)
 			continue
 		}
-		m.ID, m.Fate, m.Since = id, state.Gone, wall
+		m.ID, m.PoolState, m.Since = id, state.PoolGone, wall
 		if pooled {
 			edit.Set(state.PoolInventory, m)
 		} else {
 			edit.Add(state.PoolInventory, m)
 		}
 	}
-	listed := core.WallTime(3*l.Config.CloudLim.ListLag.Milliseconds() + 20000)
+	listed := core.WallTime(3*l.Config.CloudLimits.ListLag.Milliseconds() + 20000)
 	for m := range l.Mirror.Inventory(state.PoolInventory).All() {
-		if _, held := l.Mirror.MachineBlock(m.ID); m.Fate == state.Gone && !held && wall-m.Since > listed {
+		if _, held := l.Mirror.MachineBlock(m.ID); m.PoolState == state.PoolGone && !held && wall-m.Since > listed {
 			edit.Remove(state.PoolInventory, m.ID)
 		}
 	}
@@ -145,7 +145,7 @@
 		m := l.list[id]
 		known, pooled := edit.Find(state.PoolInventory, id)
 		if m.Phase == api.MachineFailed {
-			if !pooled || known.Fate != state.Gone {
+			if !pooled || known.PoolState != state.PoolGone {
 				l.sendBack(id)
 			}
 			continue
@@ -155,7 +155,7 @@
 		}
 		adopted := state.Machine{
 			ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			Since: l.Loop.WallNow() - core.WallTime(m.AgeS*1000), Seen: l.Mirror.Term.Record.Last,
+			Since: l.Loop.WallNow() - core.WallTime(m.AgeS*1000), LastTerm: l.Mirror.Term.Record.Last,
 		}
 		if edit.Add(state.PoolInventory, adopted) {
 			l.note("machine adopted", "machine", id, "type", m.Type, "phase", m.Phase)
@@ -195,7 +195,7 @@
 	}
 	// The report may be a late copy from a machine that is gone: only an answer
 	// to a question shows that it is there.
-	l.unknown.Ask(rep, func() {
+	l.unknown.Probe(rep, func() {
 		if _, known := l.list[id]; known || l.ended {
 			return
 		}
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -14,7 +14,7 @@
 
 // plan asks the capacity package what should be where.
 func (l *Leader) plan(edit *state.Edit, now core.Time, wall core.WallTime) capacity.Plan {
-	in := capacity.Input{Now: wall, Types: l.priced(), GangKinds: l.GangKinds(), TeamQuota: map[string]float64{}, UnavailableOffers: l.closedOffers(now), IdleTimeout: l.Config.Operator.Idle}
+	in := capacity.Input{Now: wall, Types: l.priced(), GangKinds: l.GangKinds(), TeamQuota: map[string]float64{}, UnavailableOffers: l.closedOffers(now), IdleTimeout: l.Config.Operator.IdleTimeout}
 	for _, t := range l.Mirror.Teams(l.Config.Teams) {
 		in.TeamQuota[t.Name] = t.CPUsMax
 	}
@@ -72,7 +72,7 @@
 func (l *Leader) pooledMachines(edit *state.Edit, now core.Time, doubtful map[core.MachineID]bool) (out []*capacity.Machine) {
 	pooled := map[core.MachineID]bool{}
 	for _, m := range edit.All(state.PoolInventory) {
-		if m.Fate != state.Free {
+		if m.PoolState != state.PoolFree {
 			continue
 		}
 		pooled[m.ID] = true
@@ -96,15 +96,15 @@
 func (l *Leader) blockMachines(edit *state.Edit, idle, doubtful map[core.MachineID]bool) (out []*capacity.Machine) {
 	leaving := map[core.MachineID]bool{}
 	for _, m := range edit.All(state.PoolInventory) {
-		leaving[m.ID] = m.Fate != state.Free
+		leaving[m.ID] = m.PoolState != state.PoolFree
 	}
 	for _, n := range core.SortedKeys(l.Mirror.Blocks) {
 		for m := range l.Mirror.Inventory(n).All() {
-			if m.Lost || m.Doomed || leaving[m.ID] {
+			if m.ReturnRequested || m.Expiring || leaving[m.ID] {
 				continue
 			}
 			machine := l.describe(&m, n, doubtful)
-			machine.Draining, machine.Idle = m.Asked, idle[m.ID]
+			machine.Draining, machine.Idle = m.Draining, idle[m.ID]
 			out = append(out, machine)
 		}
 	}
@@ -120,7 +120,7 @@
 func (l *Leader) unfinishedJobs(wall core.WallTime) (jobs []*capacity.Job) {
 	failing, running := l.FailingJobs(), l.RunningTasks()
 	for id, e := range l.Mirror.Jobs {
-		if e.Over() || e.Spec == nil {
+		if e.Finished() || e.Spec == nil {
 			continue
 		}
 		if j := l.describeJob(id, e, wall, running); j != nil {
@@ -171,11 +171,11 @@
 	}
 	j.Overdue = capacity.Overdue(at, wall, j.Running > 0 || !e.Done.Empty())
 	j.Rank = max(j.Rank, e.Urgency.Rank)
-	j.TimeSensitive = e.Urgency.Due > 0 || capacity.TimeSensitive(l.Config.Aims, e.Spec)
+	j.TimeSensitive = e.Urgency.Deadline > 0 || capacity.TimeSensitive(l.Config.Objectives, e.Spec)
 	if j.Running == 0 {
 		j.Starvation = capacity.StarvationAfter(time.Duration(wall-at) * time.Millisecond)
 	}
-	if due := capacity.DueTimes(l.Config.Aims, e.Spec, e.At, at, e.Urgency.Due); len(due) > 0 {
+	if due := capacity.DueTimes(l.Config.Objectives, e.Spec, e.AcceptedAt, at, e.Urgency.Deadline); len(due) > 0 {
 		j.Deadline = due[0]
 	}
 	return j
@@ -188,7 +188,7 @@
 	look := func(m *state.Machine) {
 		age := time.Duration(wall-m.Since) * time.Millisecond
 		switch up := l.ready(m) || idle[m.ID]; {
-		case !up && m.Since > 0 && m.Fate == state.Free && !m.Lost:
+		case !up && m.Since > 0 && m.PoolState == state.PoolFree && !m.ReturnRequested:
 			waiting[m.ID] = capacity.PendingMachine{Offer: capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, Age: age}
 		case up && l.booting[m.ID]:
 			l.boots.Record(now, m.Type, age, core.Seconds(types[m.Type].BootS))
@@ -211,5 +211,5 @@
 
 // ready tells whether a machine has booted: it was in use, or the list says so.
 func (l *Leader) ready(m *state.Machine) bool {
-	return m.Up || m.Seen > 0 || l.list[m.ID].Phase == api.MachineRunning
+	return m.InUse || m.LastTerm > 0 || l.list[m.ID].Phase == api.MachineRunning
 }
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -17,10 +17,10 @@
 type Metrics struct {
 	registry *prometheus.Registry
 
-	// Reports counts messages of workers by source (report, answer) and result.
-	Reports *prometheus.CounterVec
-	// Learnt counts attempts that a holder learnt of from a message, by source.
-	Learnt *prometheus.CounterVec
+	// WorkerMessages counts messages of workers by source (report, answer) and result.
+	WorkerMessages *prometheus.CounterVec
+	// Discovered counts attempts that a holder learnt of from a message, by source.
+	Discovered *prometheus.CounterVec
 	// Duplicates counts attempts learnt of while another one of the task was booked.
 	Duplicates prometheus.Counter
 	// Starts counts start commands sent to workers.
@@ -43,20 +43,20 @@
 // New makes a set of metrics, all 0.
 func New() *Metrics {
 	m := &Metrics{
-		registry:   prometheus.NewRegistry(),
-		Reports:    counters("worker_messages_total", "Messages of workers, by source and result.", "source", "result"),
-		Learnt:     counters("attempts_learnt_total", "Attempts that a holder learnt of from a message, by source.", "source"),
-		Duplicates: counter("attempts_duplicate_total", "Attempts learnt of while another one of the task was booked."),
-		Starts:     counter("starts_total", "Start commands sent to workers."),
-		Stops:      counters("stops_total", "Attempts that were told to stop, by reason.", "reason"),
-		Releases:   counters("releases_total", "Attempts proven to be off their machines, by reason.", "reason"),
+		registry:       prometheus.NewRegistry(),
+		WorkerMessages: counters("worker_messages_total", "Messages of workers, by source and result.", "source", "result"),
+		Discovered:     counters("attempts_learnt_total", "Attempts that a holder learnt of from a message, by source.", "source"),
+		Duplicates:     counter("attempts_duplicate_total", "Attempts learnt of while another one of the task was booked."),
+		Starts:         counter("starts_total", "Start commands sent to workers."),
+		Stops:          counters("stops_total", "Attempts that were told to stop, by reason.", "reason"),
+		Releases:       counters("releases_total", "Attempts proven to be off their machines, by reason.", "reason"),
 
 		LeaderTerm:    gauge("leader_term", "Term under which the controller leads; 0: it does not."),
 		BlockTerm:     prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "block_term", Help: "Term under which the controller holds a block."}, []string{"block"}),
 		StateRevision: gauge("state_revision", "Revision of the state service that the controller has read."),
 		ProofAge:      gauge("state_proof_age_seconds", "How long ago what was read was last proven complete."),
 	}
-	m.registry.MustRegister(m.Reports, m.Learnt, m.Duplicates, m.Starts, m.Stops, m.Releases, m.LeaderTerm, m.BlockTerm, m.StateRevision, m.ProofAge)
+	m.registry.MustRegister(m.WorkerMessages, m.Discovered, m.Duplicates, m.Starts, m.Stops, m.Releases, m.LeaderTerm, m.BlockTerm, m.StateRevision, m.ProofAge)
 	return m
 }
 
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -8,7 +8,7 @@
 // What is counted is what a reader of the text finds, under the names of docs/operations.md.
 func TestText(t *testing.T) {
 	m := New()
-	m.Reports.WithLabelValues("report", "taken").Add(3)
+	m.WorkerMessages.WithLabelValues("report", "taken").Add(3)
 	m.Stops.WithLabelValues("superseded").Inc()
 	m.Duplicates.Inc()
 	m.BlockTerm.WithLabelValues("2").Set(26)
--- a/internal/node/answers.go
+++ b/internal/node/answers.go
@@ -25,7 +25,7 @@
 // known answers with what the mirror, proven up to date, shows of a job.
 func (n *Node) known(id core.JobID, e *state.JobEntry) Response {
 	a := Response{Status: 200, Body: n.status(id, e)}
-	if !e.Over() {
+	if !e.Finished() {
 		a.ExpiresAt = n.loop.Now().Add(proofTime)
 	}
 	return a
@@ -77,7 +77,7 @@
 // GetJob answers a poll. What is over stays as it is; anything else is answered
 // only once the mirror is proven to be up to date.
 func (n *Node) GetJob(id core.JobID, reply Reply) {
-	if e := n.mirror.Jobs[id]; e != nil && e.Over() {
+	if e := n.mirror.Jobs[id]; e != nil && e.Finished() {
 		reply(n.known(id, e))
 		return
 	}
@@ -100,7 +100,7 @@
 		reply(n.later("starting"))
 		return
 	}
-	n.mirror.Fresh(func(ok bool) {
+	n.mirror.ConfirmFresh(func(ok bool) {
 		if !ok {
 			reply(n.later("the state service does not answer"))
 			return
@@ -127,7 +127,7 @@
 		case e == nil:
 			reply(refuse(404, "no such job", ""))
 			return
-		case e.Over():
+		case e.Finished():
 			reply(n.known(id, e))
 			return
 		}
@@ -140,7 +140,7 @@
 			case state.Applied:
 				n.announceCancellation(id)
 				reply(Response{Status: 200, Body: api.JobStatus{ID: string(id), Phase: api.PhaseCancelled}})
-			case state.Refused, state.NoTenure:
+			case state.Refused, state.LeaseExpired:
 				reply(n.later("the state service does not take changes"))
 			default:
 				n.cancel(id, reply, tries+1)
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -38,7 +38,7 @@
 func (n *Node) noteMisrouted(rep *api.Report, num int) {
 	id := core.MachineID(rep.Machine)
 	granted := n.mirror.Blocks[num].Record.Term
-	n.prober.Ask(rep, func() { n.misrouted[id] = misroutedReport{num, granted, n.loop.Now()} })
+	n.prober.Probe(rep, func() { n.misrouted[id] = misroutedReport{num, granted, n.loop.Now()} })
 }
 
 func (n *Node) misroutedHints() []peer.MisroutedHint {
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -41,7 +41,7 @@
 		n.become(joining)
 		again := func() { n.loop.After(300*time.Millisecond, func() { n.become(outside) }) }
 		start := func() {
-			n.state.Grant(n.cfg.Operator.Tenure, func(t core.LeaseID) {
+			n.state.GrantLease(n.cfg.Operator.LeaseTTL, func(t core.LeaseID) {
 				if t == 0 {
 					again()
 					return
@@ -55,28 +55,28 @@
 			start()
 			return
 		}
-		n.log.Info("ending the tenure of our previous process", "tenure", old.Record.Tenure)
-		n.state.End(old.Record.Tenure, func(ok bool) {
+		n.log.Info("ending the tenure of our previous process", "tenure", old.Record.LeaseID)
+		n.state.RevokeLease(old.Record.LeaseID, func(ok bool) {
 			if !ok {
 				again()
 				return
 			}
 			// The mirror has to show that the key is gone before it is made anew.
-			n.mirror.Fresh(func(bool) { start() })
+			n.mirror.ConfirmFresh(func(bool) { start() })
 		})
 	case member:
 		if n.displaced() {
 			n.log.Info("our member key is not ours; joining anew", "tenure", n.tenure)
-			n.state.End(n.tenure, func(bool) {})
+			n.state.RevokeLease(n.tenure, func(bool) {})
 			n.become(outside)
 			return
 		}
-		if n.renewing || n.loop.Now().Sub(n.renewedAt) < n.cfg.Operator.Tenure/4 {
+		if n.renewing || n.loop.Now().Sub(n.renewedAt) < n.cfg.Operator.LeaseTTL/4 {
 			return
 		}
 		n.renewing = true
 		asked, tenure := n.loop.Now(), n.tenure
-		n.state.Renew(tenure, func(status int) {
+		n.state.RenewLease(tenure, func(status int) {
 			n.renewing = false
 			switch {
 			case n.tenure != tenure:
@@ -95,18 +95,18 @@
 // node renewed its own for ever, nobody counted it among the live, and as a leader it
 // was deposed by everybody at once.
 func (n *Node) displaced() bool {
-	return n.mirror.Shows(n.registered) && n.mirror.Members[n.cfg.Host].Record.Tenure != n.tenure
+	return n.mirror.HasReached(n.registered) && n.mirror.Members[n.cfg.Host].Record.LeaseID != n.tenure
 }
 
 func (n *Node) register(again func()) {
 	tenure := n.tenure
-	put := state.Put(state.KeyMember(n.cfg.Host), state.Member{Host: n.cfg.Host, Tenure: tenure})
-	put.Tenure = uint64(tenure)
+	put := state.Put(state.KeyMember(n.cfg.Host), state.Member{Host: n.cfg.Host, LeaseID: tenure})
+	put.LeaseID = uint64(tenure)
 	t := api.Txn{
 		If:   []api.Condition{{Key: put.Set, Version: uint64(n.mirror.Members[n.cfg.Host].Version)}},
 		Then: []api.Change{put},
 	}
-	n.state.TxnFirst(t, func(r state.Result) {
+	n.state.TxnHighPriority(t, func(r state.Result) {
 		if n.tenure != tenure || n.membership != joining {
 			// The tenure was given up meanwhile. A node that took itself for a
 			// member without one was elected under a key that no tenure ends.
@@ -125,7 +125,7 @@
 // outlived its tenure, which should not be and must not last.
 func (n *Node) leaderless() bool {
 	l := n.mirror.Leader.Record
-	return l == nil || n.mirror.Members[l.Host].Record.Tenure != l.Tenure
+	return l == nil || n.mirror.Members[l.Host].Record.LeaseID != l.LeaseID
 }
 
 // elect makes this node the leader if there is none.
@@ -141,8 +141,8 @@
 		}
 		tenure := n.tenure
 		term := n.mirror.Term.Record.Last + 1
-		put := state.Put(state.KeyLeader, state.Leader{Host: n.cfg.Host, Tenure: tenure, Term: term})
-		put.Tenure = uint64(tenure)
+		put := state.Put(state.KeyLeader, state.Leader{Host: n.cfg.Host, LeaseID: tenure, Term: term})
+		put.LeaseID = uint64(tenure)
 		t := api.Txn{
 			If: []api.Condition{{Key: state.KeyLeader, Version: uint64(n.mirror.Leader.Version)}, {Key: state.KeyTerm, Version: uint64(n.mirror.Term.Version)}},
 			Then: []api.Change{
@@ -150,11 +150,11 @@
 				put,
 			},
 		}
-		n.state.TxnFirst(t, func(r state.Result) {
-			if r.Outcome == state.NoTenure && n.tenure == tenure {
+		n.state.TxnHighPriority(t, func(r state.Result) {
+			if r.Outcome == state.LeaseExpired && n.tenure == tenure {
 				n.become(outside)
 			}
-			n.mirror.Fresh(func(bool) { n.electing = false })
+			n.mirror.ConfirmFresh(func(bool) { n.electing = false })
 		})
 	})
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -67,13 +67,13 @@
 // controllers.
 func New(cfg *config.Config, loop core.Loop, call core.Caller, broadcast func([]byte), log *slog.Logger, rnd *rand.Rand) *Node {
 	n := &Node{cfg: cfg, loop: loop, log: log, rnd: rnd, broadcast: broadcast, holders: map[int]*block.Holder{}, peers: map[core.Host]heard{}, misrouted: map[core.MachineID]misroutedReport{}, grants: map[int]grantSeen{}}
-	n.state = state.NewClient(loop, call, cfg.State, cfg.StateLim, cfg.Nodes)
+	n.state = state.NewClient(loop, call, cfg.State, cfg.StateLimits, cfg.Nodes)
 	n.mirror = state.NewMirror(loop, n.state, log)
-	n.cloud = cloud.NewClient(loop, call, cfg.Cloud, cfg.CloudLim)
+	n.cloud = cloud.NewClient(loop, call, cfg.Cloud, cfg.CloudLimits)
 	n.workers = worker.NewClient(call)
 	n.metrics = metrics.New()
 	n.prober = worker.NewProber(n.workers, maxProbes)
-	n.mirror.Changed = n.changed
+	n.mirror.OnChange = n.changed
 	return n
 }
 
@@ -88,14 +88,14 @@
 // index proves, over and over, how far the mirror is up to date.
 func (n *Node) index() {
 	if n.mirror.Complete() {
-		n.mirror.Fresh(func(bool) {})
+		n.mirror.ConfirmFresh(func(bool) {})
 	}
 	n.loop.After(indexEvery, n.index)
 }
 
 // sure tells whether our tenure has certainly not run out.
 func (n *Node) sure() bool {
-	return n.membership == member && n.loop.Now().Sub(n.renewedAt) < n.cfg.Operator.Tenure
+	return n.membership == member && n.loop.Now().Sub(n.renewedAt) < n.cfg.Operator.LeaseTTL
 }
 
 // standstill is how late a tick is when the process, not its timer, was to blame.
@@ -139,7 +139,7 @@
 }
 
 // changed takes in what has changed in the mirror.
-func (n *Node) changed(t state.Touched) {
+func (n *Node) changed(t state.ChangeSet) {
 	for _, id := range t.Jobs {
 		if e := n.mirror.Jobs[id]; e != nil && e.Spec != nil && n.mayRun(e) {
 			n.shapes.Observe(n.loop.Now(), e.Spec)
@@ -163,7 +163,7 @@
 // follow starts and ends the roles that the records give this node.
 func (n *Node) follow() {
 	l := n.mirror.Leader
-	ours := n.tenure != 0 && l.Record != nil && l.Record.Host == n.cfg.Host && l.Record.Tenure == n.tenure
+	ours := n.tenure != 0 && l.Record != nil && l.Record.Host == n.cfg.Host && l.Record.LeaseID == n.tenure
 	if n.leader != nil && (!ours || n.leader.Version() != l.Version) {
 		n.leader.Stop()
 		n.leader = nil
@@ -184,7 +184,7 @@
 	}
 	for _, num := range core.SortedKeys(n.mirror.Blocks) {
 		b := n.mirror.Blocks[num]
-		if n.holders[num] == nil && n.tenure != 0 && b.Record.Holder == n.cfg.Host && b.Record.Tenure == n.tenure {
+		if n.holders[num] == nil && n.tenure != 0 && b.Record.Holder == n.cfg.Host && b.Record.LeaseID == n.tenure {
 			n.holders[num] = block.New(block.Env{
 				Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Workers: n.workers, Types: n.types, GangKinds: n.kept, Policy: n.Policy, Metrics: n.metrics,
 			}, b.Record)
@@ -195,7 +195,7 @@
 
 // kept lists the kinds of machine that are kept for gangs even while none waits.
 func (n *Node) kept() capacity.GangKinds {
-	return n.shapes.GangKinds(n.loop.Now(), n.cfg.Aims, n.types())
+	return n.shapes.GangKinds(n.loop.Now(), n.cfg.Objectives, n.types())
 }
 
 func (n *Node) types() map[string]api.MachineType { return n.mirror.Types.Record }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -26,7 +26,7 @@
 func (n *Node) beat() {
 	n.loop.After(beatEvery, n.beat)
 	n.shareChanges()
-	b := peer.Heartbeat{Host: n.cfg.Host, LeaseID: n.tenure, Staleness: n.contact(), WriteRate: uint64(10 * n.state.Usage())}
+	b := peer.Heartbeat{Host: n.cfg.Host, LeaseID: n.tenure, Staleness: n.contact(), WriteRate: uint64(10 * n.state.WriteRate())}
 	for _, num := range core.SortedKeys(n.holders) {
 		b.Blocks = append(b.Blocks, n.holders[num].BlockHint())
 		b.Running = append(b.Running, n.holders[num].RunningHints()...)
@@ -49,12 +49,12 @@
 		}
 		others = append(others, used)
 	}
-	n.state.Borrow(others)
+	n.state.RedistributeWrites(others)
 }
 
 // contact is how long ago the mirror was proven up to date.
 func (n *Node) contact() time.Duration {
-	at, ok := n.mirror.Contact()
+	at, ok := n.mirror.FreshAsOf()
 	if !ok {
 		return noContact
 	}
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -69,9 +69,9 @@
 	}
 	n.trim(&j)
 	raw, err := json.Marshal(state.Job{
-		Phase: state.JobAccepted, Tasks: j.Tasks, At: n.loop.WallNow(), Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Spec: &j,
+		Phase: state.JobAccepted, Tasks: j.Tasks, AcceptedAt: n.loop.WallNow(), Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Spec: &j,
 	})
-	if err != nil || len(raw) > n.cfg.StateLim.ValueBytes {
+	if err != nil || len(raw) > n.cfg.StateLimits.ValueBytes {
 		field := ""
 		if len(j.Dependencies) > 0 {
 			field = api.FieldDependencies
@@ -171,7 +171,7 @@
 	t := api.Txn{}
 	size := 0
 	var batch []*create
-	most := n.state.Affordable(n.cfg.StateLim.TxnOps)
+	most := n.state.WriteBudget(n.cfg.StateLimits.TxnOps)
 	seen := map[core.JobID]bool{}
 	for len(n.creates) > 0 && len(batch) < most {
 		c := n.creates[0]
@@ -194,7 +194,7 @@
 					c.reply(Response{Status: 201, Body: api.JobStatus{ID: string(c.id), Phase: api.PhaseQueued}})
 					continue
 				}
-				n.mirror.Await(r.Revision, func(ok bool) {
+				n.mirror.WaitFor(r.Revision, func(ok bool) {
 					if e := n.mirror.Jobs[c.id]; ok && e != nil {
 						created := n.known(c.id, e)
 						created.Status = 201
@@ -218,7 +218,7 @@
 
 // settle looks which of a batch exist, and tries the others again.
 func (n *Node) settle(batch []*create) {
-	n.mirror.Fresh(func(ok bool) {
+	n.mirror.ConfirmFresh(func(ok bool) {
 		for _, c := range batch {
 			e := n.mirror.Jobs[c.id]
 			switch {
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -11,7 +11,7 @@
 // HandleReport answers a worker's report.
 func (n *Node) HandleReport(body []byte, reply Reply) {
 	var rep api.Report
-	if api.Decode(body, &rep) != nil || rep.Machine == "" || rep.Season == 0 || rep.Addr == "" || rep.Type == "" {
+	if api.Decode(body, &rep) != nil || rep.Machine == "" || rep.Session == 0 || rep.Addr == "" || rep.Type == "" {
 		reply(refuse(400, "not a report", ""))
 		return
 	}
@@ -41,7 +41,7 @@
 		n.redirect(id, reply)
 		return
 	}
-	h.HandleReport(&rep, func(a api.ReportAnswer, ok bool) {
+	h.HandleReport(&rep, func(a api.ReportResponse, ok bool) {
 		if ok {
 			reply(Response{Status: 200, Body: a})
 			return
@@ -71,10 +71,10 @@
 		return
 	}
 	now := n.loop.Now()
-	n.parked = append(n.parked, parked{rep, now, now.Add(n.cfg.Workers.Hold()), now.Add(doubtTime), reply})
-	n.log.Debug("report waits for its machine's holder", "machine", rep.Machine, "season", rep.Season, "tally", rep.Tally)
+	n.parked = append(n.parked, parked{rep, now, now.Add(n.cfg.Workers.MaxReportHold()), now.Add(doubtTime), reply})
+	n.log.Debug("report waits for its machine's holder", "machine", rep.Machine, "season", rep.Session, "tally", rep.Sequence)
 	n.loop.After(doubtTime, n.unpark)
-	n.loop.After(n.cfg.Workers.Hold(), n.unpark)
+	n.loop.After(n.cfg.Workers.MaxReportHold(), n.unpark)
 	n.unpark()
 }
 
@@ -90,8 +90,8 @@
 		case !ok && now < p.due && (n.leader != nil || n.mirror.Inventory(state.PoolInventory).VersionOf(id) != 0):
 			n.parked = append(n.parked, p)
 		case ok && n.holders[num] != nil:
-			n.log.Debug("report is handed to its machine's holder", "machine", id, "block", num, "season", p.rep.Season, "tally", p.rep.Tally, "waited", now.Sub(p.since).String())
-			n.holders[num].HandleReport(p.rep, func(a api.ReportAnswer, ok bool) {
+			n.log.Debug("report is handed to its machine's holder", "machine", id, "block", num, "season", p.rep.Session, "tally", p.rep.Sequence, "waited", now.Sub(p.since).String())
+			n.holders[num].HandleReport(p.rep, func(a api.ReportResponse, ok bool) {
 				if ok {
 					p.reply(Response{Status: 200, Body: a})
 					return
@@ -118,5 +118,5 @@
 	if to == n.cfg.Host {
 		to = ""
 	}
-	reply(Response{Status: 421, Body: api.Redirect{Steward: string(to)}})
+	reply(Response{Status: 421, Body: api.Redirect{Holder: string(to)}})
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -92,7 +92,7 @@
 func NewJob(id core.JobID, at core.WallTime, spec *api.Job) Job {
 	j := Job{
 		ID: id, Team: spec.Team, Rank: Rank(spec.Rank), ReadyAt: at, Need: Resources{spec.CPUs, spec.GPUs, spec.MemoryGB},
-		Gang: spec.Form == api.FormGang, Tasks: spec.Tasks, Types: spec.Types, OneZone: spec.OneZone, SpreadZones: spec.Scatter,
+		Gang: spec.Form == api.FormGang, Tasks: spec.Tasks, Types: spec.Types, OneZone: spec.OneZone, SpreadZones: spec.SpreadZones,
 		Spot: spec.Spot, Image: spec.Image, Estimate: core.Seconds(spec.EstimateS),
 	}
 	if spec.Zone != nil {
--- a/internal/sim/borrower_test.go
+++ b/internal/sim/borrower_test.go
@@ -13,12 +13,12 @@
 // them, in which a team without a guarantee or a limit borrows all that it uses.
 func worldWithBorrower(seed uint64) *World {
 	w := fleet(5, 170, seed)
-	w.Cfg.StateLim.RPS, w.Cfg.StateLim.WriteRPS = 100, 40
+	w.Cfg.StateLimits.RPS, w.Cfg.StateLimits.WriteRPS = 100, 40
 	w.Cfg.Workers.Report, w.Cfg.Workers.Lease, w.Cfg.Workers.Cancel = time.Second, 10*time.Second, 35*time.Second
 	w.Cfg.Limits.Sockets = 500
 	w.Cfg.Teams = append(w.Cfg.Teams, config.Team{Name: "borrower", CPUsMax: config.Unlimited, GPUsMax: config.Unlimited})
-	w.Cfg.Aims = []config.Aim{
-		{Kind: "deadline", Class: "counts", Share: 0.9, Times: 1},
+	w.Cfg.Objectives = []config.Objective{
+		{Kind: "deadline", Class: "counts", Share: 0.9, DeadlineFactor: 1},
 		{Kind: "finished", Class: "vast", Within: 300 * time.Second, Share: 0.9},
 		{Kind: "finished", Class: "single", Within: 300 * time.Second, Share: 0.9},
 	}
@@ -155,7 +155,7 @@
 	var next func()
 	next = func() {
 		j := w.RandomJob(5000 + bad)
-		j.Form, j.Tasks, j.CPUs, j.Types, j.Zone, j.GPUs, j.OneZone, j.Scatter = api.FormArray, 60, 1, nil, nil, 0, false, false
+		j.Form, j.Tasks, j.CPUs, j.Types, j.Zone, j.GPUs, j.OneZone, j.SpreadZones = api.FormArray, 60, 1, nil, nil, 0, false, false
 		if bad%3 == 0 {
 			j.Form, j.Tasks, j.CPUs = api.FormGang, 2, 6
 		}
@@ -195,7 +195,7 @@
 	w := NewWorld(Settings(3), 84, nil)
 	w.Populate()
 	j := w.RandomJob(1)
-	j.Team, j.Form, j.Tasks, j.CPUs, j.Types, j.Zone, j.GPUs, j.OneZone, j.Scatter, j.EstimateS = "grey", api.FormArray, 70, 1, nil, nil, 0, false, false, 20
+	j.Team, j.Form, j.Tasks, j.CPUs, j.Types, j.Zone, j.GPUs, j.OneZone, j.SpreadZones, j.EstimateS = "grey", api.FormArray, 70, 1, nil, nil, 0, false, false, 20
 	w.At(10*time.Second, func() { w.Users.Submit(j) })
 	w.At(16*time.Second, func() { Faults["a team leaves the settings"](w) })
 	w.Run(300 * time.Second)
--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -182,7 +182,7 @@
 	case p.Spot && !s.Spot:
 		c.fail("wrong_place: %s on a spot machine", t)
 	}
-	if !s.OneZone && !s.Scatter {
+	if !s.OneZone && !s.SpreadZones {
 		return
 	}
 	same := 1
@@ -198,7 +198,7 @@
 			}
 		}
 	}
-	if s.Scatter && same > (s.Tasks+1)/2 {
+	if s.SpreadZones && same > (s.Tasks+1)/2 {
 		c.fail("wrong_place: %d of %d tasks of %s in zone %s", same, s.Tasks, t.Job, p.Zone)
 	}
 }
--- a/internal/sim/checker_test.go
+++ b/internal/sim/checker_test.go
@@ -51,7 +51,7 @@
 			c.StatusReturned("req-1", api.PhaseCancelled, c.now)
 			c.StatusReturned("req-1", api.PhaseQueued, 0)
 		}},
-		{"half of the tasks, rounded up, in a zone", "", job(func(j *api.Job) { j.Scatter = true; j.Tasks = 3 }), func(c *Checker) {
+		{"half of the tasks, rounded up, in a zone", "", job(func(j *api.Job) { j.SpreadZones = true; j.Tasks = 3 }), func(c *Checker) {
 			c.TaskPlaced(task(0), small)
 			c.TaskPlaced(task(1), small)
 			c.TaskPlaced(task(2), other)
@@ -72,7 +72,7 @@
 			c.TaskPlaced(task(0), small)
 			c.TaskPlaced(task(1), other)
 		}},
-		{"too many in a zone", "wrong_place", job(func(j *api.Job) { j.Scatter = true; j.Tasks = 3 }), func(c *Checker) {
+		{"too many in a zone", "wrong_place", job(func(j *api.Job) { j.SpreadZones = true; j.Tasks = 3 }), func(c *Checker) {
 			c.TaskPlaced(task(0), small)
 			c.TaskPlaced(task(1), small)
 			c.TaskPlaced(task(2), small)
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -33,7 +33,7 @@
 func newCloud(w *World) *Cloud {
 	return &Cloud{
 		w: w, Capacity: map[string]int{}, machines: map[string]*Machine{}, byAddr: map[string]*Machine{}, answers: map[string][]string{},
-		rate: limit{rate: w.Cfg.CloudLim.RPS * 2, level: w.Cfg.CloudLim.RPS * 2},
+		rate: limit{rate: w.Cfg.CloudLimits.RPS * 2, level: w.Cfg.CloudLimits.RPS * 2},
 	}
 }
 
@@ -111,13 +111,13 @@
 		reply(answer(200, api.MachineTypes{Types: c.Types}))
 	case path == "/hosts" && r.Method == "GET":
 		q, _ := url.ParseQuery(query)
-		at := max(0, c.w.now-time.Duration(float64(c.w.Cfg.CloudLim.ListLag)*c.w.between(1, 2)))
+		at := max(0, c.w.now-time.Duration(float64(c.w.Cfg.CloudLimits.ListLag)*c.w.between(1, 2)))
 		most, _ := strconv.Atoi(q.Get("most"))
 		reply(answer(200, c.list(at, q.Get("from"), most)))
 	case path == "/hosts":
 		c.rent(r.Body, reply)
 	case path == "/hosts/return":
-		var n api.MachineNames
+		var n api.MachineIDs
 		if json.Unmarshal(r.Body, &n) != nil || len(n.Machines) > 100 {
 			reply(answer(400, api.Error{Error: "malformed"}))
 			return
@@ -135,12 +135,12 @@
 
 func (c *Cloud) rent(body []byte, reply func(core.Response)) {
 	var r api.Rental
-	if json.Unmarshal(body, &r) != nil || r.Request == "" || r.Count < 1 || r.Count > 50 || c.typ(r.Type) == nil {
+	if json.Unmarshal(body, &r) != nil || r.RequestID == "" || r.Count < 1 || r.Count > 50 || c.typ(r.Type) == nil {
 		reply(answer(400, api.Error{Error: "malformed"}))
 		return
 	}
-	if got, ok := c.answers[r.Request]; ok {
-		reply(answer(200, api.MachineNames{Machines: got}))
+	if got, ok := c.answers[r.RequestID]; ok {
+		reply(answer(200, api.MachineIDs{Machines: got}))
 		return
 	}
 	n := min(r.Count, c.Capacity[kind(r.Type, r.Zone, r.Spot)])
@@ -162,8 +162,8 @@
 		}
 		got = append(got, c.Add(r.Type, r.Zone, r.Spot, boot).ID)
 	}
-	c.answers[r.Request] = got
-	reply(answer(200, api.MachineNames{Machines: got}))
+	c.answers[r.RequestID] = got
+	reply(answer(200, api.MachineIDs{Machines: got}))
 }
 
 // list shows the machines as they were at a time, as far as they still exist.
--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -26,7 +26,7 @@
 // plainJob makes up an array that may be anywhere and needs no GPUs.
 func plainJob(w *World, n int) api.Job {
 	j := w.RandomJob(n)
-	j.Form, j.Types, j.Zone, j.GPUs, j.OneZone, j.Scatter = api.FormArray, nil, nil, 0, false, false
+	j.Form, j.Types, j.Zone, j.GPUs, j.OneZone, j.SpreadZones = api.FormArray, nil, nil, 0, false, false
 	return j
 }
 
@@ -129,7 +129,7 @@
 	{"jobs of one zone lose machines", func(w *World) {
 		for i := range 12 {
 			j := w.RandomJob(9000 + i)
-			j.Team, j.OneZone, j.Scatter, j.Zone, j.Types, j.GPUs, j.CPUs, j.Tasks, j.EstimateS = "blue", true, false, nil, nil, 0, 2, 3+i%5, 60
+			j.Team, j.OneZone, j.SpreadZones, j.Zone, j.Types, j.GPUs, j.CPUs, j.Tasks, j.EstimateS = "blue", true, false, nil, nil, 0, 2, 3+i%5, 60
 			if i%2 == 0 {
 				j.Form = api.FormArray
 			}
--- a/internal/sim/fleet_test.go
+++ b/internal/sim/fleet_test.go
@@ -15,8 +15,8 @@
 func fleet(n, machines int, seed uint64) *World {
 	cfg := Settings(n)
 	cfg.Zones = []string{"east", "north", "west", "south"}
-	cfg.StateLim.RPS, cfg.StateLim.WriteRPS = 400, 150
-	cfg.CloudLim.RPS = 5
+	cfg.StateLimits.RPS, cfg.StateLimits.WriteRPS = 400, 150
+	cfg.CloudLimits.RPS = 5
 	cfg.Workers.Report, cfg.Workers.Lease, cfg.Workers.Cancel = 3*time.Second, 16*time.Second, 42*time.Second
 	cfg.Limits.Sockets = 1700
 	scale := float64(machines) / 12
@@ -127,7 +127,7 @@
 				most = max(most, len(w.Cloud.RunningMachines()))
 				parts = 0
 				for key, e := range w.State.keys {
-					if len(e.value) > w.Cfg.StateLim.ValueBytes {
+					if len(e.value) > w.Cfg.StateLimits.ValueBytes {
 						t.Fatalf("%s has %d bytes", key, len(e.value))
 					}
 					if strings.HasPrefix(key, "lichenstair/machines/") {
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -58,7 +58,7 @@
 	h.proc = p
 	cfg := h.w.Cfg
 	if p.previous {
-		cfg.StateLim = h.w.PreviousLimits
+		cfg.StateLimits = h.w.PreviousLimits
 	}
 	cfg.Host = h.name
 	for _, o := range h.w.Hosts {
@@ -66,7 +66,7 @@
 			cfg.Peers = append(cfg.Peers, config.Peer{Host: o.name, Addr: o.addr})
 		}
 	}
-	p.maxOpen, p.maxCalls = cfg.Limits.Shares(len(cfg.Peers))
+	p.maxOpen, p.maxCalls = cfg.Limits.ConnectionLimits(len(cfg.Peers))
 	p.node = node.New(&cfg, p, p, p.broadcast, h.w.logger().With("host", h.name), rand.New(rand.NewPCG(h.w.Rand.Uint64(), 1)))
 	p.node.Policy = h.w.Policy
 	p.do(p.node.Start)
--- a/internal/sim/pipeline_test.go
+++ b/internal/sim/pipeline_test.go
@@ -262,9 +262,9 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			cfg := Settings(3)
-			previous := cfg.StateLim
+			previous := cfg.StateLimits
 			previous.ValueBytes = 16 << 10
-			cfg.StateLim.ValueBytes, cfg.StateLim.TxnOps, cfg.StateLim.WriteRPS = 2<<10, 12, 30
+			cfg.StateLimits.ValueBytes, cfg.StateLimits.TxnOps, cfg.StateLimits.WriteRPS = 2<<10, 12, 30
 			w := NewWorld(cfg, 6500+seed, nil)
 			w.PreviousLimits = previous
 			w.State.SetLimits(previous)
@@ -292,7 +292,7 @@
 			at(w, 80, func() { w.Users.CancelRunning(3, 0) })
 			at(w, 95, func() { w.DependencyProb = 0.5 })
 			// The limits fall at some moment after the last one, and something else with it.
-			w.At(98*time.Second+time.Duration(w.between(0, 3000))*time.Millisecond, func() { w.State.SetLimits(cfg.StateLim) })
+			w.At(98*time.Second+time.Duration(w.between(0, 3000))*time.Millisecond, func() { w.State.SetLimits(cfg.StateLimits) })
 			at(w, 98, func() {
 				switch seed % 4 {
 				case 0:
@@ -307,7 +307,7 @@
 				at(w, 110+20*float64(i), func() { Faults[name](w) })
 			}
 			playOut(t, w, seed, 330*time.Second)
-			if largest <= cfg.StateLim.ValueBytes {
+			if largest <= cfg.StateLimits.ValueBytes {
 				t.Fatalf("seed %d: the version before left no record of more than %d bytes", seed, largest)
 			}
 			done := 0
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -19,11 +19,11 @@
 			{Name: "red", CPUs: 24, CPUsMax: 60, GPUsMax: 4}, {Name: "blue", CPUs: 32, CPUsMax: 90},
 			{Name: "green", CPUs: 16, CPUsMax: 40}, {Name: "grey", CPUs: 8, CPUsMax: 30},
 		},
-		Workers:  config.Workers{Report: 1500 * time.Millisecond, Lease: 12 * time.Second, GangWait: 30 * time.Second, GangPeer: 6 * time.Second, Cancel: 36 * time.Second},
-		StateLim: config.StateLimits{RPS: 150, WriteRPS: 45, ValueBytes: 8 << 10, TxnOps: 32},
-		CloudLim: config.CloudLimits{RPS: 2, ListLag: 5 * time.Second},
-		Limits:   config.Limits{CoreShare: 0.1, MemoryBytes: 70 << 20, Sockets: 500},
-		Operator: config.Operator{Tenure: 5 * time.Second, Blocks: n, Idle: 20 * time.Second, MemoryShare: 0.7, RetryAfter: time.Second},
+		Workers:     config.WorkerTimings{Report: 1500 * time.Millisecond, Lease: 12 * time.Second, GangWait: 30 * time.Second, GangPeer: 6 * time.Second, Cancel: 36 * time.Second},
+		StateLimits: config.StateLimits{RPS: 150, WriteRPS: 45, ValueBytes: 8 << 10, TxnOps: 32},
+		CloudLimits: config.CloudLimits{RPS: 2, ListLag: 5 * time.Second},
+		Limits:      config.Limits{CoreShare: 0.1, MemoryBytes: 70 << 20, Sockets: 500},
+		Operator:    config.Operator{LeaseTTL: 5 * time.Second, Blocks: n, IdleTimeout: 20 * time.Second, MemoryShare: 0.7, RetryAfter: time.Second},
 	}
 }
 
@@ -67,7 +67,7 @@
 	case 0:
 		j.Form, j.Tasks, j.CPUs, j.CheckpointS, j.SaveS = api.FormGang, 1+r.IntN(4), float64(1+r.IntN(7)), 10, 2
 		j.OneZone = r.IntN(2) == 0
-		j.Scatter = !j.OneZone && r.IntN(2) == 0
+		j.SpreadZones = !j.OneZone && r.IntN(2) == 0
 	case 1:
 		j.CPUs, j.Tasks = w.between(2, 7), 1+r.IntN(8)
 		j.Types = []string{"large"}
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -232,13 +232,13 @@
 	w.Run(100 * time.Second)
 	record := func(id string) (doomed, found bool) {
 		for key, e := range w.State.keys {
-			var p state.Part
+			var p state.InventoryPart
 			if !strings.HasPrefix(key, "lichenstair/machines/") || strings.Contains(key, "/pool/") || json.Unmarshal(e.value, &p) != nil {
 				continue
 			}
 			for _, m := range p.Machines {
 				if m.ID == core.MachineID(id) {
-					return m.Doomed, true
+					return m.Expiring, true
 				}
 			}
 		}
@@ -269,7 +269,7 @@
 	w.Populate()
 	w.At(5*time.Second, func() {
 		j := w.RandomJob(1)
-		j.Form, j.Team, j.Types, j.Zone, j.GPUs, j.OneZone, j.Scatter = api.FormArray, "blue", nil, nil, 0, false, false
+		j.Form, j.Team, j.Types, j.Zone, j.GPUs, j.OneZone, j.SpreadZones = api.FormArray, "blue", nil, nil, 0, false, false
 		j.Tasks, j.CPUs, j.MemoryGB, j.EstimateS, j.Spot, j.ImageGB = api.MaxTasks, 0.001, 0.001, 25, true, 0.1
 		w.Users.Submit(j)
 	})
@@ -281,7 +281,7 @@
 		t.Fatalf("only %d tasks were done", done)
 	}
 	for _, e := range w.State.keys {
-		if len(e.value) > w.Cfg.StateLim.ValueBytes {
+		if len(e.value) > w.Cfg.StateLimits.ValueBytes {
 			t.Fatal("a record is too long")
 		}
 	}
@@ -323,7 +323,7 @@
 			for i, team := range w.Cfg.Teams[:3] { // one of each block
 				j := w.RandomJob(9000 + i)
 				j.Team, j.Form, j.Types, j.Zone, j.GPUs, j.Rank = team.Name, api.FormArray, nil, nil, 0, api.RankProduction
-				j.Tasks, j.CPUs, j.MemoryGB, j.OneZone, j.Scatter = 1, 1, 1, false, false
+				j.Tasks, j.CPUs, j.MemoryGB, j.OneZone, j.SpreadZones = 1, 1, 1, false, false
 				w.Users.Submit(j)
 			}
 		})
@@ -351,7 +351,7 @@
 // an election.
 func TestGrownDeployment(t *testing.T) {
 	cfg := Settings(5)
-	cfg.StateLim.WriteRPS, cfg.StateLim.RPS = 50, 250
+	cfg.StateLimits.WriteRPS, cfg.StateLimits.RPS = 50, 250
 	for i := range cfg.Teams {
 		cfg.Teams[i].CPUs, cfg.Teams[i].CPUsMax = cfg.Teams[i].CPUs*12, cfg.Teams[i].CPUsMax*12
 	}
@@ -396,7 +396,7 @@
 	if len(w.Checker.Violations) > 0 {
 		t.Fatal(w.Checker.Violations)
 	}
-	if largest > cfg.StateLim.ValueBytes {
+	if largest > cfg.StateLimits.ValueBytes {
 		t.Fatalf("a record of %d bytes", largest)
 	}
 	if most < 120 || w.Checker.Starts < 5000 || w.Users.Done < 30 {
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -127,7 +127,7 @@
 const keptEvents = 10_000
 
 func newStateService(w *World) *StateService {
-	lim := w.Cfg.StateLim
+	lim := w.Cfg.StateLimits
 	return &StateService{
 		w: w, lim: lim, keys: map[string]*entry{}, leases: map[uint64]*lease{}, refused: map[party]SimTime{},
 		requests: limit{rate: lim.RPS, level: lim.RPS}, writes: limit{rate: lim.WriteRPS, level: lim.WriteRPS},
@@ -218,7 +218,7 @@
 			s.w.At(w.due, s.wake)
 		}
 	case path == "/grants":
-		var t api.TenureRequest
+		var t api.LeaseRequest
 		if json.Unmarshal(r.Body, &t) != nil || t.TTLMS < 100 {
 			send(answer(400, api.Error{Error: "malformed"}))
 			return
@@ -226,7 +226,7 @@
 		s.nextID++
 		s.leases[s.nextID] = &lease{ttl: time.Duration(t.TTLMS) * time.Millisecond}
 		s.extend(s.nextID)
-		send(answer(200, api.TenureAnswer{Tenure: s.nextID}))
+		send(answer(200, api.LeaseResponse{LeaseID: s.nextID}))
 	case strings.HasPrefix(path, "/grants/"):
 		rest, renew := strings.CutSuffix(strings.TrimPrefix(path, "/grants/"), "/renew")
 		id, _ := strconv.ParseUint(rest, 10, 64)
@@ -298,7 +298,7 @@
 		return
 	}
 	for _, c := range t.Then {
-		if c.Tenure != 0 && s.leases[c.Tenure] == nil {
+		if c.LeaseID != 0 && s.leases[c.LeaseID] == nil {
 			reply(answer(400, api.Error{Error: "no such lease"}))
 			return
 		}
@@ -314,7 +314,7 @@
 		}
 	}
 	if failed != nil {
-		reply(answer(409, api.TxnAnswer{Revision: s.ring, Failed: failed}))
+		reply(answer(409, api.TxnResponse{Revision: s.ring, Failed: failed}))
 		return
 	}
 	if len(t.Then) > 0 {
@@ -327,7 +327,7 @@
 				}
 				continue
 			}
-			s.keys[c.Set] = &entry{c.Value, s.ring, c.Tenure}
+			s.keys[c.Set] = &entry{c.Value, s.ring, c.LeaseID}
 			s.log = append(s.log, api.Event{Set: c.Set, Value: c.Value, Version: s.ring})
 			if c.Set == state.KeyLeader && s.OnLeaderElected != nil {
 				s.OnLeaderElected(s.Leader().name)
@@ -342,7 +342,7 @@
 		}
 		s.wake()
 	}
-	reply(answer(200, api.TxnAnswer{Revision: s.ring}))
+	reply(answer(200, api.TxnResponse{Revision: s.ring}))
 }
 
 // SetLimits sets other limits from now on.
@@ -377,7 +377,7 @@
 			break
 		}
 		e := s.keys[k]
-		p.Items = append(p.Items, api.Item{Key: k, Value: e.value, Version: e.version, Tenure: e.tenure})
+		p.Items = append(p.Items, api.Item{Key: k, Value: e.value, Version: e.version, LeaseID: e.tenure})
 	}
 	reply(answer(200, p))
 }
@@ -391,7 +391,7 @@
 		return true
 	}
 	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > w.after })
-	a := api.WatchAnswer{Revision: s.ring, Events: []api.Event{}}
+	a := api.WatchResponse{Revision: s.ring, Events: []api.Event{}}
 	for _, e := range s.log[i:] {
 		if strings.HasPrefix(e.Set+e.Remove, w.prefix) {
 			a.Events = append(a.Events, e)
--- a/internal/sim/tasks.go
+++ b/internal/sim/tasks.go
@@ -91,7 +91,7 @@
 	m.report(500 * time.Millisecond)
 }
 
-func (m *Machine) execute(orders []api.Order) {
+func (m *Machine) execute(orders []api.Command) {
 	for _, o := range orders {
 		id, err := core.ParseTaskID(o.Task)
 		if err != nil {
--- a/internal/sim/workerreport.go
+++ b/internal/sim/workerreport.go
@@ -34,14 +34,14 @@
 func (m *Machine) view() api.Report {
 	m.tally++
 	r := api.Report{
-		Machine: m.ID, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Season: m.season, Tally: m.tally, Term: m.warrant, Tasks: []api.TaskView{},
+		Machine: m.ID, Addr: m.addr, Type: m.typ.Name, Zone: m.zone, Spot: m.spot, Session: m.season, Sequence: m.tally, Term: m.warrant, Tasks: []api.TaskStatus{},
 	}
 	if m.notice > 0 {
 		s := (m.notice - m.w.now).Seconds()
 		r.NoticeS = &s
 	}
 	for _, t := range m.sorted() {
-		r.Tasks = append(r.Tasks, api.TaskView{Task: t.id.String(), Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
+		r.Tasks = append(r.Tasks, api.TaskStatus{Task: t.id.String(), Attempt: t.attempt, State: t.state, Cause: t.cause, Saved: t.saved})
 	}
 	return r
 }
@@ -84,7 +84,7 @@
 	}
 	switch res.Status {
 	case 200:
-		var a api.ReportAnswer
+		var a api.ReportResponse
 		if json.Unmarshal(res.Body, &a) != nil {
 			m.w.Checker.fail("unreadable answer to a report: %.200s", res.Body)
 			return
@@ -92,14 +92,14 @@
 		if a.Term >= m.warrant && season == m.season {
 			m.warrant = a.Term
 			m.answered = max(m.answered, sent)
-			m.execute(a.Orders)
+			m.execute(a.Commands)
 		}
 		m.next()
 	case 421:
 		var r api.Redirect
 		_ = json.Unmarshal(res.Body, &r)
 		for i, h := range m.w.Hosts {
-			if string(h.name) == r.Steward && i != m.node {
+			if string(h.name) == r.Holder && i != m.node {
 				m.node = i
 				m.report(time.Duration(m.w.between(0, 500)) * time.Millisecond)
 				return
@@ -117,13 +117,13 @@
 			reply(answer(200, m.view()))
 			return
 		}
-		var d api.Direct
-		if json.Unmarshal(r.Body, &d) != nil || d.Season == 0 {
+		var d api.CommandRequest
+		if json.Unmarshal(r.Body, &d) != nil || d.Session == 0 {
 			reply(answer(400, api.Error{Error: "malformed"}))
 			return
 		}
 		m.checkLease()
-		if d.Term < m.warrant || d.Season != m.season {
+		if d.Term < m.warrant || d.Session != m.season {
 			reply(answer(409, m.view()))
 			return
 		}
@@ -131,7 +131,7 @@
 			m.warrant = d.Term
 			m.report(500 * time.Millisecond)
 		}
-		m.execute(d.Orders)
+		m.execute(d.Commands)
 		reply(answer(200, m.view()))
 	})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -203,11 +203,11 @@
 // wasted counts starts that a machine was given and that did not reach it.
 func (w *World) wasted(to party, res core.Response) {
 	m := w.Cloud.byAddr[string(to)]
-	var a api.ReportAnswer
+	var a api.ReportResponse
 	if m == nil || json.Unmarshal(res.Body, &a) != nil {
 		return
 	}
-	for _, o := range a.Orders {
+	for _, o := range a.Commands {
 		if o.Verb == api.VerbRun {
 			m.wasted++
 			return
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -9,21 +9,21 @@
 	"lichenstair/internal/core"
 )
 
-// Touched says which kinds of record a batch of changes concerned.
-type Touched struct {
-	Leader, Members, Blocks, Rounds bool
-	Inventories                     []int
-	Jobs                            []core.JobID
+// ChangeSet says which kinds of record a batch of changes concerned.
+type ChangeSet struct {
+	Leader, Members, Blocks, CompletionBatches bool
+	Inventories                                []int
+	Jobs                                       []core.JobID
 }
 
-func (t *Touched) touch(inventory int) {
+func (t *ChangeSet) touch(inventory int) {
 	if !slices.Contains(t.Inventories, inventory) {
 		t.Inventories = append(t.Inventories, inventory)
 	}
 }
 
 func (m *Mirror) take(events []api.Event) {
-	var t Touched
+	var t ChangeSet
 	for _, e := range events {
 		key := e.Set
 		if key == "" {
@@ -35,8 +35,8 @@
 		m.versions[key] = core.Revision(e.Version)
 		m.apply(key, e, &t)
 	}
-	if len(events) > 0 && m.Changed != nil && m.complete {
-		m.Changed(t)
+	if len(events) > 0 && m.OnChange != nil && m.complete {
+		m.OnChange(t)
 	}
 }
 
@@ -51,7 +51,7 @@
 }
 
 // apply takes in one change of a key.
-func (m *Mirror) apply(key string, e api.Event, t *Touched) {
+func (m *Mirror) apply(key string, e api.Event, t *ChangeSet) {
 	switch {
 	case key == KeyLeader:
 		t.Leader = true
@@ -63,7 +63,7 @@
 	case key == KeyTypes:
 		m.applyTypes(key, e)
 	case key == keyArrivals:
-		if arrivals := decoded(m, key, e, func(r *Arrivals) Arrivals { return *r }); arrivals.Version > 0 {
+		if arrivals := decoded(m, key, e, func(r *AdditionCounter) AdditionCounter { return *r }); arrivals.Version > 0 {
 			m.arrivals = arrivals
 		}
 	case strings.HasPrefix(key, members):
@@ -77,7 +77,7 @@
 	case strings.HasPrefix(key, jobs):
 		m.applyJob(key, e, t)
 	case strings.HasPrefix(key, rounds):
-		t.Rounds = true
+		t.CompletionBatches = true
 		m.applyRound(key, e, t)
 	}
 }
@@ -133,9 +133,9 @@
 	}
 }
 
-func (m *Mirror) applyPart(key string, e api.Event, t *Touched) {
+func (m *Mirror) applyPart(key string, e api.Event, t *ChangeSet) {
 	number, part, ok := parsePart(key)
-	var record Part
+	var record InventoryPart
 	if ok && m.decode(key, e, &record) {
 		t.touch(number)
 		m.Inventory(number).put(part, &record, core.Revision(e.Version))
@@ -144,7 +144,7 @@
 
 // applyJob takes in the record of a job. One that is over stays so: no change can make it
 // unfinished again.
-func (m *Mirror) applyJob(key string, e api.Event, t *Touched) {
+func (m *Mirror) applyJob(key string, e api.Event, t *ChangeSet) {
 	id := core.JobID(strings.TrimPrefix(key, jobs))
 	var record Job
 	if !m.decode(key, e, &record) {
@@ -156,13 +156,13 @@
 	if !known {
 		entry = m.newEntry(id)
 	}
-	if entry.Job.Over() && entry.Tasks > 0 && !record.Over() {
+	if entry.Job.Finished() && entry.Tasks > 0 && !record.Finished() {
 		m.log.Error("a job that was over is called unfinished", "job", id)
 		return
 	}
 	entry.Job, entry.Version = record, core.Revision(e.Version)
 	switch {
-	case record.Over():
+	case record.Finished():
 		entry.Spec, entry.Done, entry.needs = nil, core.IndexSet{}, nil
 		m.settled(id, entry, t)
 	case entry.withdrawn:
@@ -183,7 +183,7 @@
 func (m *Mirror) newEntry(id core.JobID) *JobEntry {
 	entry := &JobEntry{}
 	m.Jobs[id] = entry
-	for _, ofBlock := range m.Rounds {
+	for _, ofBlock := range m.CompletionBatches {
 		for _, round := range ofBlock {
 			entry.Done.Union(round.Done[id])
 		}
@@ -191,23 +191,23 @@
 	return entry
 }
 
-func (m *Mirror) applyRound(key string, e api.Event, t *Touched) {
+func (m *Mirror) applyRound(key string, e api.Event, t *ChangeSet) {
 	number := blockOfRound(key)
 	if e.Remove != "" {
-		delete(m.Rounds[number], key)
+		delete(m.CompletionBatches[number], key)
 		delete(m.versions, key)
 		return
 	}
-	var record Round
+	var record CompletionBatch
 	if !m.decode(key, e, &record) {
 		return
 	}
-	if m.Rounds[number] == nil {
-		m.Rounds[number] = map[string]*Round{}
+	if m.CompletionBatches[number] == nil {
+		m.CompletionBatches[number] = map[string]*CompletionBatch{}
 	}
-	m.Rounds[number][key] = &record
+	m.CompletionBatches[number][key] = &record
 	for id, set := range record.Done {
-		if entry := m.Jobs[id]; entry != nil && !entry.Over() {
+		if entry := m.Jobs[id]; entry != nil && !entry.Finished() {
 			entry.Done.Union(set)
 			t.Jobs = append(t.Jobs, id)
 		}
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -21,8 +21,8 @@
 	Applied Outcome = iota
 	// Conflict: a condition did not hold; nothing was changed.
 	Conflict
-	// NoTenure: the tenure it names has ended; nothing was changed.
-	NoTenure
+	// LeaseExpired: the tenure it names has ended; nothing was changed.
+	LeaseExpired
 	// Refused: the service did not execute it.
 	Refused
 	// Oversized: the service does not take it as it is; it must be smaller.
@@ -76,15 +76,15 @@
 	}
 }
 
-// Usage is how many changes a second this node has made lately.
-func (c *Client) Usage() float64 { return c.used.rate(c.loop.Now()) }
+// WriteRate is how many changes a second this node has made lately.
+func (c *Client) WriteRate() float64 { return c.used.rate(c.loop.Now()) }
 
-// Borrow divides what other nodes leave unused of their parts. Their usage is what
+// RedistributeWrites divides what other nodes leave unused of their parts. Their usage is what
 // they told lately; of one that has told nothing it is -1. The block with most of
 // the work otherwise waited for its own part, a fifth, while the rest lay idle.
 // Everybody keeps a quarter of the part at the least, for what comes suddenly; as
 // long as nobody is heard of, each has its own part.
-func (c *Client) Borrow(others []float64) {
+func (c *Client) RedistributeWrites(others []float64) {
 	idle, wanting := 0.0, 1.0
 	for _, used := range others {
 		switch {
@@ -99,9 +99,9 @@
 	c.drain()
 }
 
-// Batch is how many changes a transaction should have that can wait: no more than
+// BatchSize is how many changes a transaction should have that can wait: no more than
 // this node may make in a second, so that others do not wait long behind it.
-func (c *Client) Batch(most int) int {
+func (c *Client) BatchSize(most int) int {
 	most = c.shrunk(most)
 	return max(min(most, int(c.writes.rate)), min(most, 6))
 }
@@ -134,18 +134,18 @@
 	}
 }
 
-// Affordable is how many changes could be sent now, of at most most, and a share of
+// WriteBudget is how many changes could be sent now, of at most most, and a share of
 // a second's worth at least.
-func (c *Client) Affordable(most int) int {
+func (c *Client) WriteBudget(most int) int {
 	most = c.shrunk(most)
 	c.writes.fill()
 	return max(min(most, int(c.writes.level)), min(most, int(c.writes.rate/2)+1))
 }
 
-// Spacing is how long to wait between two reads of a kind that repeats for as long
+// ReadInterval is how long to wait between two reads of a kind that repeats for as long
 // as there is reason to: next to nothing while there are requests to spare, and a
 // quarter of the rate when there are none.
-func (c *Client) Spacing() time.Duration {
+func (c *Client) ReadInterval() time.Duration {
 	c.requests.fill()
 	spare := max(c.requests.level, 0) / max(c.requests.rate, 1)
 	return time.Duration((1 - min(2*spare, 1)) * 4 / c.requests.rate * float64(time.Second))
@@ -154,11 +154,11 @@
 // Txn carries out t.
 func (c *Client) Txn(t api.Txn, done func(Result)) { c.txn(changes, t, done) }
 
-// TxnFirst carries out t before all else that waits: elections and grants.
-func (c *Client) TxnFirst(t api.Txn, done func(Result)) { c.txn(grants, t, done) }
+// TxnHighPriority carries out t before all else that waits: elections and grants.
+func (c *Client) TxnHighPriority(t api.Txn, done func(Result)) { c.txn(grants, t, done) }
 
-// TxnLater carries out t once nothing else has to be changed.
-func (c *Client) TxnLater(t api.Txn, done func(Result)) { c.txn(records, t, done) }
+// TxnLowPriority carries out t once nothing else has to be changed.
+func (c *Client) TxnLowPriority(t api.Txn, done func(Result)) { c.txn(records, t, done) }
 
 func (c *Client) txn(l lane, t api.Txn, done func(Result)) {
 	if t.If == nil {
@@ -180,7 +180,7 @@
 }
 
 func txnResult(r core.Response) Result {
-	var a api.TxnAnswer
+	var a api.TxnResponse
 	switch r.Status {
 	case 200, 409:
 		if json.Unmarshal(r.Body, &a) != nil {
@@ -194,7 +194,7 @@
 	case 400:
 		var e api.Error
 		if json.Unmarshal(r.Body, &e) == nil && e.Error == "no such lease" {
-			return Result{Outcome: NoTenure}
+			return Result{Outcome: LeaseExpired}
 		}
 		return Result{Outcome: Oversized}
 	case 429, 503:
@@ -204,29 +204,29 @@
 	}
 }
 
-// Grant asks for a tenure; 0 means that none was given.
-func (c *Client) Grant(ttl time.Duration, done func(core.LeaseID)) {
-	body, _ := json.Marshal(api.TenureRequest{TTLMS: int(ttl.Milliseconds())})
+// GrantLease asks for a tenure; 0 means that none was given.
+func (c *Client) GrantLease(ttl time.Duration, done func(core.LeaseID)) {
+	body, _ := json.Marshal(api.LeaseRequest{TTLMS: int(ttl.Milliseconds())})
 	c.enqueue(urgent, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: "/grants", Body: body, Timeout: txnTimeout}, func(r core.Response) {
-			var a api.TenureAnswer
+			var a api.LeaseResponse
 			if r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
-				a.Tenure = 0
+				a.LeaseID = 0
 			}
-			done(core.LeaseID(a.Tenure))
+			done(core.LeaseID(a.LeaseID))
 		})
 	}, func() { done(0) })
 }
 
-// Renew prolongs a tenure; done gets the status of the answer, 0 for none.
-func (c *Client) Renew(t core.LeaseID, done func(status int)) {
+// RenewLease prolongs a tenure; done gets the status of the answer, 0 for none.
+func (c *Client) RenewLease(t core.LeaseID, done func(status int)) {
 	c.enqueue(urgent, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: fmt.Sprintf("/grants/%d/renew", t), Timeout: txnTimeout}, func(r core.Response) { done(r.Status) })
 	}, func() { done(0) })
 }
 
-// End ends a tenure at once; keys attached to it are removed.
-func (c *Client) End(t core.LeaseID, done func(ok bool)) {
+// RevokeLease ends a tenure at once; keys attached to it are removed.
+func (c *Client) RevokeLease(t core.LeaseID, done func(ok bool)) {
 	c.enqueue(urgent, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "DELETE", Path: fmt.Sprintf("/grants/%d", t), Timeout: txnTimeout}, func(r core.Response) {
 			done(r.Status >= 200 && r.Status < 300 || r.Status == 404)
@@ -251,13 +251,13 @@
 
 // Watch waits for changes after a revision. gone means that the service no
 // longer keeps them.
-func (c *Client) Watch(prefix string, from core.Revision, block time.Duration, done func(a api.WatchAnswer, ok, gone bool)) {
+func (c *Client) Watch(prefix string, from core.Revision, block time.Duration, done func(a api.WatchResponse, ok, gone bool)) {
 	path := "/watch?prefix=" + prefix + "&from=" + strconv.FormatUint(uint64(from), 10) + "&blockMs=" + strconv.Itoa(int(block.Milliseconds()))
 	c.enqueue(reads, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "GET", Path: path, Timeout: block + 3*time.Second}, func(r core.Response) {
-			var a api.WatchAnswer
+			var a api.WatchResponse
 			ok := r.Status == 200 && api.Decode(r.Body, &a) == nil
 			done(a, ok, r.Status == 410)
 		})
-	}, func() { done(api.WatchAnswer{}, false, false) })
+	}, func() { done(api.WatchResponse{}, false, false) })
 }
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -72,7 +72,7 @@
 		c.Txn(txn, func(Result) {})
 	}
 	l.run(core.Time(500 * time.Millisecond))
-	c.Renew(7, func(int) {})
+	c.RenewLease(7, func(int) {})
 	l.run(core.Time(time.Second))
 	renewed, ok := l.at["/grants/7/renew"]
 	if !ok || renewed > core.Time(600*time.Millisecond) {
@@ -97,7 +97,7 @@
 				others = append(others, u)
 			}
 		}
-		c.Borrow(others)
+		c.RedistributeWrites(others)
 		return c.writes.rate
 	}
 	fair := limit * 0.9 / nodes
@@ -139,11 +139,11 @@
 		}
 		return t
 	}
-	if n := c.Batch(24); n > 8 {
+	if n := c.BatchSize(24); n > 8 {
 		t.Fatalf("a batch of %d changes at 7.2 a second", n)
 	}
 	for range 3 {
-		c.TxnLater(txn(c.Batch(24)), func(Result) { order = append(order, "record") })
+		c.TxnLowPriority(txn(c.BatchSize(24)), func(Result) { order = append(order, "record") })
 	}
 	c.Txn(txn(1), func(Result) { order = append(order, "job") })
 	l.run(core.Time(time.Second))
@@ -176,15 +176,15 @@
 	txn := api.Txn{Then: []api.Change{Put("k", 1)}}
 	for range 3 {
 		again("reads", func(done func()) {
-			c.Watch(root, 1, 0, func(api.WatchAnswer, bool, bool) { l.After(c.Spacing(), done) })
+			c.Watch(root, 1, 0, func(api.WatchResponse, bool, bool) { l.After(c.ReadInterval(), done) })
 		})
 	}
 	again("jobs", func(done func()) { c.Txn(txn, func(Result) { done() }) })
-	again("records", func(done func()) { c.TxnLater(txn, func(Result) { done() }) })
+	again("records", func(done func()) { c.TxnLowPriority(txn, func(Result) { done() }) })
 	var asked, granted core.Time
 	l.After(10*time.Second, func() {
 		asked = l.now
-		c.TxnFirst(txn, func(Result) { granted = l.now })
+		c.TxnHighPriority(txn, func(Result) { granted = l.now })
 	})
 	l.run(until)
 	if count["jobs"] < 60 || count["records"] < 20 || count["reads"] < 60 {
--- a/internal/state/edit.go
+++ b/internal/state/edit.go
@@ -21,7 +21,7 @@
 	bytes  int
 	lane   int
 	added  bool
-	drafts map[[2]int]*Part
+	drafts map[[2]int]*InventoryPart
 	order  [][2]int
 }
 
@@ -29,7 +29,7 @@
 // goes to parts of its lane: holders have one each, and the leader has lane 0,
 // so that their releases need not wait for each other.
 func (m *Mirror) Edit(lim config.StateLimits, ops, lane int) *Edit {
-	return &Edit{mirror: m, most: min(lim.ValueBytes, partBytes) - 64, ops: ops, hard: lim.TxnOps - besideParts, bytes: editBytes, lane: lane, drafts: map[[2]int]*Part{}}
+	return &Edit{mirror: m, most: min(lim.ValueBytes, partBytes) - 64, ops: ops, hard: lim.TxnOps - besideParts, bytes: editBytes, lane: lane, drafts: map[[2]int]*InventoryPart{}}
 }
 
 // besideParts is how many other changes a transaction with machines may have: a counter of
@@ -39,12 +39,12 @@
 // split lists the machines of a part in pieces that fit a value each. Parts that were
 // written when longer values were allowed are written in pieces once they change, all in
 // one transaction.
-func (e *Edit) split(have *Part) (pieces [][]Machine) {
+func (e *Edit) split(have *InventoryPart) (pieces [][]Machine) {
 	size := e.most
 	for i := range have.Machines {
 		m := &have.Machines[i]
 		if size+m.size() > e.most {
-			pieces, size = append(pieces, nil), (&Part{}).size()
+			pieces, size = append(pieces, nil), (&InventoryPart{}).size()
 		}
 		size += m.size()
 		last := &pieces[len(pieces)-1]
@@ -72,7 +72,7 @@
 }
 
 // own makes the part changeable in which a machine is, and returns it, or nil.
-func (e *Edit) own(inventory int, id core.MachineID) *Part {
+func (e *Edit) own(inventory int, id core.MachineID) *InventoryPart {
 	k := e.partOf(inventory, id)
 	if k < 0 || e.draft(inventory, k) == nil {
 		return nil
@@ -81,7 +81,7 @@
 }
 
 // draft makes a part changeable, unless the limits forbid it.
-func (e *Edit) draft(inventory, part int) *Part {
+func (e *Edit) draft(inventory, part int) *InventoryPart {
 	key := [2]int{inventory, part}
 	if p := e.drafts[key]; p != nil {
 		return p
@@ -104,7 +104,7 @@
 		}
 		e.ops--
 		e.bytes -= e.most
-		e.drafts[key] = &Part{Machines: machines}
+		e.drafts[key] = &InventoryPart{Machines: machines}
 		e.order = append(e.order, key)
 	}
 	return e.drafts[[2]int{inventory, part}]
@@ -112,7 +112,7 @@
 
 // room finds a part of an inventory that can take one more machine: one that is to
 // be written anyway, else the first, else a new one.
-func (e *Edit) room(inventory int, m *Machine) *Part {
+func (e *Edit) room(inventory int, m *Machine) *InventoryPart {
 	parts := e.mirror.Inventory(inventory).parts
 	for _, key := range e.order {
 		if p := e.drafts[key]; key[0] == inventory && p.size()+m.size() <= e.most {
@@ -238,7 +238,7 @@
 	if e.added {
 		c := e.mirror.arrivals
 		t.If = append(t.If, api.Condition{Key: keyArrivals, Version: uint64(c.Version)})
-		t.Then = append(t.Then, Put(keyArrivals, Arrivals{c.Record.Count + 1}))
+		t.Then = append(t.Then, Put(keyArrivals, AdditionCounter{c.Record.Count + 1}))
 	}
 	for _, key := range e.order {
 		have := e.mirror.Inventory(key[0]).parts[key[1]]
--- a/internal/state/inventory.go
+++ b/internal/state/inventory.go
@@ -17,17 +17,17 @@
 // A part, once made, is never removed: a late creation could otherwise find its
 // key missing again, and bring back what has changed since.
 type Inventory struct {
-	parts map[int]Versioned[*Part]
+	parts map[int]Versioned[*InventoryPart]
 	place map[core.MachineID]int // the part of each machine
 }
 
-// Part is the record of one part of an inventory.
-type Part struct {
+// InventoryPart is the record of one part of an inventory.
+type InventoryPart struct {
 	Machines []Machine `json:"machines"`
 }
 
 // find returns the place of a machine in the part, or -1.
-func (p *Part) find(id core.MachineID) int {
+func (p *InventoryPart) find(id core.MachineID) int {
 	for i := range p.Machines {
 		if p.Machines[i].ID == id {
 			return i
@@ -37,7 +37,7 @@
 }
 
 // size estimates the length of the part's record.
-func (p *Part) size() int {
+func (p *InventoryPart) size() int {
 	n := 32
 	for i := range p.Machines {
 		n += p.Machines[i].size()
@@ -86,7 +86,7 @@
 }
 
 // put takes in a part as the state service has it.
-func (s *Inventory) put(k int, p *Part, v core.Revision) {
+func (s *Inventory) put(k int, p *InventoryPart, v core.Revision) {
 	if old, ok := s.parts[k]; ok {
 		for _, m := range old.Record.Machines {
 			if s.place[m.ID] == k {
@@ -94,14 +94,14 @@
 			}
 		}
 	}
-	s.parts[k] = Versioned[*Part]{p, v}
+	s.parts[k] = Versioned[*InventoryPart]{p, v}
 	for _, m := range p.Machines {
 		s.place[m.ID] = k
 	}
 }
 
 func newInventory() *Inventory {
-	return &Inventory{parts: map[int]Versioned[*Part]{}, place: map[core.MachineID]int{}}
+	return &Inventory{parts: map[int]Versioned[*InventoryPart]{}, place: map[core.MachineID]int{}}
 }
 
 func keyPart(inventory, part int) string {
--- a/internal/state/inventory_test.go
+++ b/internal/state/inventory_test.go
@@ -87,7 +87,7 @@
 		for range 1 + r.IntN(60) {
 			mc := made(r.IntN(fleet))
 			to := r.IntN(blocks+1) - 1
-			mc.Up, mc.Asked, mc.Lost, mc.Doomed, mc.Since, mc.Seen = true, true, true, true, 1_700_000_000_000, 1_000_000
+			mc.InUse, mc.Draining, mc.ReturnRequested, mc.Expiring, mc.Since, mc.LastTerm = true, true, true, true, 1_700_000_000_000, 1_000_000
 			from := where[mc.ID]
 			if from != to && e.Move(from, to, mc) {
 				where[mc.ID] = to
@@ -136,7 +136,7 @@
 	e.Apply(&release)
 	e = m.Edit(lim, 10, 0)
 	used := made(1)
-	used.Up = true
+	used.InUse = true
 	e.Set(1, used)
 	e.Apply(&raise)
 	if !l.apply(m, raise) || l.apply(m, release) {
@@ -189,7 +189,7 @@
 		e := m.Edit(now, 3, r.IntN(blocks+1))
 		for i := range 1 + r.IntN(4) {
 			mc := made(r.IntN(fleet))
-			mc.Up, mc.Since = true, core.WallTime(r.Int64N(1<<40))
+			mc.InUse, mc.Since = true, core.WallTime(r.Int64N(1<<40))
 			from, to := where[mc.ID], r.IntN(blocks+1)-1
 			switch {
 			case from != to && r.IntN(2) == 0:
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -38,21 +38,21 @@
 	catchingUp bool
 	epoch      int
 
-	Leader  Versioned[*Leader]
-	Term    Versioned[TermCounter]
-	Types   Versioned[map[string]api.MachineType]
-	Members map[core.Host]Versioned[Member]
-	Blocks  map[int]Versioned[*Block]
-	Jobs    map[core.JobID]*JobEntry
-	Rounds  map[int]map[string]*Round
+	Leader            Versioned[*Leader]
+	Term              Versioned[TermCounter]
+	Types             Versioned[map[string]api.MachineType]
+	Members           map[core.Host]Versioned[Member]
+	Blocks            map[int]Versioned[*Block]
+	Jobs              map[core.JobID]*JobEntry
+	CompletionBatches map[int]map[string]*CompletionBatch
 
 	dependents  map[core.JobID][]core.JobID // of jobs that are not known to be over
 	inventories map[int]*Inventory
-	arrivals    Versioned[Arrivals]
+	arrivals    Versioned[AdditionCounter]
 	versions    map[string]core.Revision
 
-	// Changed is called after changes have been taken in, with what they touched.
-	Changed func(Touched)
+	// OnChange is called after changes have been taken in, with what they touched.
+	OnChange func(ChangeSet)
 
 	fresh    core.Time // the mirror shows everything up to this time, at least
 	hasFresh bool
@@ -90,13 +90,13 @@
 
 func (m *Mirror) reset() {
 	m.Leader, m.Term = Versioned[*Leader]{}, Versioned[TermCounter]{}
-	m.inventories, m.arrivals = map[int]*Inventory{}, Versioned[Arrivals]{}
+	m.inventories, m.arrivals = map[int]*Inventory{}, Versioned[AdditionCounter]{}
 	m.Members = map[core.Host]Versioned[Member]{}
 	m.Blocks = map[int]Versioned[*Block]{}
 	if m.Jobs == nil {
 		m.Jobs, m.dependents = map[core.JobID]*JobEntry{}, map[core.JobID][]core.JobID{}
 	}
-	m.Rounds = map[int]map[string]*Round{}
+	m.CompletionBatches = map[int]map[string]*CompletionBatch{}
 	m.versions = map[string]core.Revision{}
 }
 
@@ -155,7 +155,7 @@
 	if m.catchingUp {
 		block = 0
 	}
-	m.client.Watch(root, m.ring, block, func(a api.WatchAnswer, ok, gone bool) {
+	m.client.Watch(root, m.ring, block, func(a api.WatchResponse, ok, gone bool) {
 		// Also the answer to a watch that was given up tells what has happened, as long as
 		// the keys were not read again: a page may be older than that.
 		if ok && m.phase == following && loads == m.loads {
@@ -181,7 +181,7 @@
 				}
 			})
 		default:
-			m.loop.After(max(watchPause, m.client.Spacing()), func() {
+			m.loop.After(max(watchPause, m.client.ReadInterval()), func() {
 				if epoch == m.epoch {
 					m.follow(epoch, 0)
 				}
--- a/internal/state/pipeline.go
+++ b/internal/state/pipeline.go
@@ -19,13 +19,13 @@
 
 // Urgency is what a job takes over from the jobs that need it.
 type Urgency struct {
-	Rank int           // the highest of them
-	Due  core.WallTime // by when it has to be done for the first of them to be in time; 0: any
+	Rank     int           // the highest of them
+	Deadline core.WallTime // by when it has to be done for the first of them to be in time; 0: any
 }
 
-// Over tells whether the job is done or cancelled, by its own record or with a job that
+// Finished tells whether the job is done or cancelled, by its own record or with a job that
 // it needs.
-func (e *JobEntry) Over() bool { return e.withdrawn || e.Job.Over() }
+func (e *JobEntry) Finished() bool { return e.withdrawn || e.Job.Finished() }
 
 // Cancelled tells whether the job is cancelled, by its own record or with a job before it.
 func (e *JobEntry) Cancelled() bool { return e.withdrawn || e.Phase == JobCancelled }
@@ -33,13 +33,13 @@
 // ReadyAt tells since when a job may run, and false as long as a job that it needs is not
 // durably done.
 func (m *Mirror) ReadyAt(e *JobEntry) (core.WallTime, bool) {
-	at := e.At
+	at := e.AcceptedAt
 	for _, id := range e.needs {
 		before := m.Jobs[id]
 		if before == nil || before.Phase != JobDone {
 			return 0, false
 		}
-		at = max(at, before.Ended)
+		at = max(at, before.EndedAt)
 	}
 	return at, true
 }
@@ -57,7 +57,7 @@
 }
 
 // link takes in what a job that is not over depends on.
-func (m *Mirror) link(id core.JobID, e *JobEntry, t *Touched) {
+func (m *Mirror) link(id core.JobID, e *JobEntry, t *ChangeSet) {
 	if e.needs != nil || e.Spec == nil || len(e.Spec.Dependencies) == 0 {
 		return
 	}
@@ -67,7 +67,7 @@
 	cancelled := false
 	for _, before := range e.needs {
 		b := m.Jobs[before]
-		if b == nil || !b.Over() {
+		if b == nil || !b.Finished() {
 			m.dependents[before] = append(m.dependents[before], id)
 			continue
 		}
@@ -81,7 +81,7 @@
 }
 
 // settled passes on to the jobs that need a job that it is over.
-func (m *Mirror) settled(id core.JobID, e *JobEntry, t *Touched) {
+func (m *Mirror) settled(id core.JobID, e *JobEntry, t *ChangeSet) {
 	after := m.dependents[id]
 	delete(m.dependents, id)
 	for _, next := range after {
@@ -94,12 +94,12 @@
 }
 
 // withdraw notes that a job, and all that need it, are cancelled with one before it.
-func (m *Mirror) withdraw(id core.JobID, t *Touched) {
+func (m *Mirror) withdraw(id core.JobID, t *ChangeSet) {
 	for next := []core.JobID{id}; len(next) > 0; {
 		x := next[len(next)-1]
 		next = next[:len(next)-1]
 		e := m.Jobs[x]
-		if e == nil || e.Over() {
+		if e == nil || e.Finished() {
 			continue
 		}
 		e.withdrawn, e.Spec, e.needs, e.Done = true, nil, nil, core.IndexSet{}
@@ -110,18 +110,18 @@
 }
 
 // inherit passes a job's rank and due time on to the jobs that it needs, and so on.
-func (m *Mirror) inherit(id core.JobID, t *Touched) {
+func (m *Mirror) inherit(id core.JobID, t *ChangeSet) {
 	for next := []core.JobID{id}; len(next) > 0; {
 		x := next[len(next)-1]
 		next = next[:len(next)-1]
 		e := m.Jobs[x]
-		if e == nil || e.Over() || e.Spec == nil {
+		if e == nil || e.Finished() || e.Spec == nil {
 			continue
 		}
 		rank := max(placement.Rank(e.Spec.Rank), e.Urgency.Rank)
-		due := e.Urgency.Due
+		due := e.Urgency.Deadline
 		if e.Spec.DeadlineS != nil {
-			if own := e.At + core.WallTime(*e.Spec.DeadlineS*1000); due == 0 || own < due {
+			if own := e.AcceptedAt + core.WallTime(*e.Spec.DeadlineS*1000); due == 0 || own < due {
 				due = own
 			}
 		}
@@ -130,12 +130,12 @@
 		}
 		for _, before := range e.needs {
 			b := m.Jobs[before]
-			if b == nil || b.Over() || b.Urgency.Rank >= rank && (due == 0 || b.Urgency.Due > 0 && b.Urgency.Due <= due) {
+			if b == nil || b.Finished() || b.Urgency.Rank >= rank && (due == 0 || b.Urgency.Deadline > 0 && b.Urgency.Deadline <= due) {
 				continue
 			}
 			b.Urgency.Rank = max(b.Urgency.Rank, rank)
-			if due > 0 && (b.Urgency.Due == 0 || due < b.Urgency.Due) {
-				b.Urgency.Due = due
+			if due > 0 && (b.Urgency.Deadline == 0 || due < b.Urgency.Deadline) {
+				b.Urgency.Deadline = due
 			}
 			t.job(before)
 			next = append(next, before)
@@ -148,7 +148,7 @@
 const changeOver = 2000
 
 // job notes that a job was touched.
-func (t *Touched) job(id core.JobID) {
+func (t *ChangeSet) job(id core.JobID) {
 	if n := len(t.Jobs); n > 32 || !slices.Contains(t.Jobs, id) {
 		t.Jobs = append(t.Jobs, id)
 	}
--- a/internal/state/pipeline_test.go
+++ b/internal/state/pipeline_test.go
@@ -29,7 +29,7 @@
 	if deadline > 0 {
 		spec.DeadlineS = &deadline
 	}
-	return Job{Phase: JobAccepted, Tasks: 1, At: 1000, Team: "red", Spec: spec}
+	return Job{Phase: JobAccepted, Tasks: 1, AcceptedAt: 1000, Team: "red", Spec: spec}
 }
 
 // What follows from the records is the same however they come: one by one, or loaded in
@@ -100,7 +100,7 @@
 			for _, id := range ids {
 				e := m.Jobs[core.JobID(id)]
 				_, begins := m.ReadyAt(e)
-				if e.Cancelled() != cancelled(id) || !e.Over() && begins != ready(id) || (e.Phase == JobDone) != (jobs[id].phase == JobDone) {
+				if e.Cancelled() != cancelled(id) || !e.Finished() && begins != ready(id) || (e.Phase == JobDone) != (jobs[id].phase == JobDone) {
 					t.Fatalf("seed %d: %s: cancelled %v, may run %v; want %v, %v", seed, id, e.Cancelled(), begins, cancelled(id), ready(id))
 				}
 			}
@@ -149,7 +149,7 @@
 	h.put("req-3", accepted("req-3", api.RankHigh, 100, "req-2"))
 	h.put("req-4", accepted("req-4", api.RankProduction, 500, "req-2"))
 	first, second := h.m.Jobs["req-1"].Urgency, h.m.Jobs["req-2"].Urgency
-	if second.Rank != 3 || first.Rank != 3 || second.Due != 1000+100_000-10_000-changeOver || first.Due != second.Due-10_000-changeOver {
+	if second.Rank != 3 || first.Rank != 3 || second.Deadline != 1000+100_000-10_000-changeOver || first.Deadline != second.Deadline-10_000-changeOver {
 		t.Fatalf("%+v, %+v", first, second)
 	}
 }
--- a/internal/state/previous_test.go
+++ b/internal/state/previous_test.go
@@ -29,13 +29,13 @@
 	}
 	m.take(events)
 	job := m.Jobs["req-000412"]
-	if at, ok := m.ReadyAt(job); !ok || at != 1700000000123 || job.Over() || job.Done.Len() != 3 || *job.Spec.DeadlineS != 120.5 {
+	if at, ok := m.ReadyAt(job); !ok || at != 1700000000123 || job.Finished() || job.Done.Len() != 3 || *job.Spec.DeadlineS != 120.5 {
 		t.Fatalf("%+v", job)
 	}
-	if !m.Jobs["req-000398"].Over() || m.Jobs["req-000398"].Cancelled() || !m.Jobs["req-000399"].Cancelled() {
+	if !m.Jobs["req-000398"].Finished() || m.Jobs["req-000398"].Cancelled() || !m.Jobs["req-000399"].Cancelled() {
 		t.Fatal("jobs that are over")
 	}
-	part := func(inventory, k int) *Part { return m.inventories[inventory].parts[k].Record }
+	part := func(inventory, k int) *InventoryPart { return m.inventories[inventory].parts[k].Record }
 	var types []api.MachineType
 	for _, typ := range m.Types.Record {
 		types = append(types, typ)
@@ -43,7 +43,7 @@
 	written := map[string]any{
 		KeyJob("req-000412"): job.Job, KeyJob("req-000398"): m.Jobs["req-000398"].Job, KeyJob("req-000399"): job.End(JobCancelled, 0),
 		KeyBlock(1): m.Blocks[1].Record, keyPart(1, 0): part(1, 0), keyPart(PoolInventory, 2): part(PoolInventory, 2),
-		KeyRound(1, 41, 3): m.Rounds[1][KeyRound(1, 41, 3)], KeyTerm: m.Term.Record, KeyLeader: m.Leader.Record,
+		KeyCompletionBatch(1, 41, 3): m.CompletionBatches[1][KeyCompletionBatch(1, 41, 3)], KeyTerm: m.Term.Record, KeyLeader: m.Leader.Record,
 		KeyMember("stalk-0"): m.Members["stalk-0"].Record, keyArrivals: m.arrivals.Record, KeyTypes: types,
 	}
 	if len(written) != len(records) {
--- a/internal/state/proof.go
+++ b/internal/state/proof.go
@@ -13,19 +13,19 @@
 	done func(bool)
 }
 
-// Shows tells whether the mirror shows everything up to a revision.
-func (m *Mirror) Shows(r core.Revision) bool { return m.complete && m.ring >= r }
+// HasReached tells whether the mirror shows everything up to a revision.
+func (m *Mirror) HasReached(r core.Revision) bool { return m.complete && m.ring >= r }
 
 // Revision returns the revision that the mirror has reached.
 func (m *Mirror) Revision() core.Revision { return m.ring }
 
-// Contact returns a time up to which the mirror is known to show everything.
-func (m *Mirror) Contact() (core.Time, bool) { return m.fresh, m.hasFresh }
+// FreshAsOf returns a time up to which the mirror is known to show everything.
+func (m *Mirror) FreshAsOf() (core.Time, bool) { return m.fresh, m.hasFresh }
 
-// Await calls done(true) once the mirror has reached a revision, or done(false)
+// WaitFor calls done(true) once the mirror has reached a revision, or done(false)
 // when that takes too long.
-func (m *Mirror) Await(ring core.Revision, done func(bool)) {
-	if m.Shows(ring) {
+func (m *Mirror) WaitFor(ring core.Revision, done func(bool)) {
+	if m.HasReached(ring) {
 		done(true)
 		return
 	}
@@ -40,7 +40,7 @@
 	keep := m.awaiting[:0:0]
 	for _, a := range m.awaiting {
 		switch {
-		case m.Shows(a.ring):
+		case m.HasReached(a.ring):
 			ready = append(ready, func() { a.done(true) })
 		case now >= a.due:
 			ready = append(ready, func() { a.done(false) })
@@ -54,10 +54,10 @@
 	}
 }
 
-// Fresh calls done(true) once the mirror shows everything that had happened
-// when Fresh was called. All who ask meanwhile share one question to the state
+// ConfirmFresh calls done(true) once the mirror shows everything that had happened
+// when ConfirmFresh was called. All who ask meanwhile share one question to the state
 // service: a transaction without changes, whose revision the mirror must reach.
-func (m *Mirror) Fresh(done func(bool)) {
+func (m *Mirror) ConfirmFresh(done func(bool)) {
 	if len(m.waiting) >= maxWaiting {
 		done(false)
 		return
@@ -81,7 +81,7 @@
 	m.client.index(func() { asked = m.loop.Now() }, func(r Result) {
 		m.asking = false
 		if r.Outcome == Applied || r.Outcome == Conflict {
-			m.Await(r.Revision, func(ok bool) {
+			m.WaitFor(r.Revision, func(ok bool) {
 				if ok && (!m.hasFresh || asked > m.fresh) {
 					m.fresh, m.hasFresh = asked, true
 				}
@@ -93,7 +93,7 @@
 		}
 		if len(m.waiting) > 0 && !m.asking {
 			m.asking = true
-			m.loop.After(m.client.Spacing(), m.ask)
+			m.loop.After(m.client.ReadInterval(), m.ask)
 		}
 	})
 }
@@ -105,7 +105,7 @@
 // it never got that far, and no controller could answer anybody until something else was
 // written. So this watch does not wait, and is left alone until it is answered.
 func (m *Mirror) catchUp(to core.Revision) {
-	if m.Shows(to) || m.phase != following || m.catchingUp {
+	if m.HasReached(to) || m.phase != following || m.catchingUp {
 		return
 	}
 	m.loadTo = max(m.loadTo, to)
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -37,8 +37,8 @@
 // KeyJob is the key of a job.
 func KeyJob(id core.JobID) string { return jobs + string(id) }
 
-// KeyRound is the key of a round of done tasks.
-func KeyRound(n int, term core.Term, seq int) string {
+// KeyCompletionBatch is the key of a round of done tasks.
+func KeyCompletionBatch(n int, term core.Term, seq int) string {
 	return fmt.Sprintf("%s%d/%d-%d", rounds, n, term, seq)
 }
 
@@ -53,15 +53,15 @@
 
 // Member is the record of a live controller, attached to its tenure.
 type Member struct {
-	Host   core.Host    `json:"host"`
-	Tenure core.LeaseID `json:"tenure"`
+	Host    core.Host    `json:"host"`
+	LeaseID core.LeaseID `json:"tenure"`
 }
 
 // Leader is the record of the leader, attached to its tenure.
 type Leader struct {
-	Host   core.Host    `json:"host"`
-	Tenure core.LeaseID `json:"tenure"`
-	Term   core.Term    `json:"term"`
+	Host    core.Host    `json:"host"`
+	LeaseID core.LeaseID `json:"tenure"`
+	Term    core.Term    `json:"term"`
 }
 
 // TermCounter is the one counter from which all terms are allocated.
@@ -69,8 +69,8 @@
 	Last core.Term `json:"last"`
 }
 
-// Arrivals counts the transactions that brought machines into the inventories.
-type Arrivals struct {
+// AdditionCounter counts the transactions that brought machines into the inventories.
+type AdditionCounter struct {
 	Count uint64 `json:"count"`
 }
 
@@ -81,43 +81,43 @@
 	Type string         `json:"type"`
 	Zone string         `json:"zone"`
 	Spot bool           `json:"spot,omitempty"`
-	// Up is set, durably, before the first task of the block is started on it.
-	Up bool `json:"up,omitempty"`
-	// Asked: the leader wants the machine back for another block.
-	Asked bool `json:"asked,omitempty"`
-	// Lost: the holder wants the machine to be returned to the cloud.
-	Lost bool `json:"lost,omitempty"`
-	// Doomed: the cloud takes the machine back, or its lease has run out; it is
+	// InUse is set, durably, before the first task of the block is started on it.
+	InUse bool `json:"up,omitempty"`
+	// Draining: the leader wants the machine back for another block.
+	Draining bool `json:"asked,omitempty"`
+	// ReturnRequested: the holder wants the machine to be returned to the cloud.
+	ReturnRequested bool `json:"lost,omitempty"`
+	// Expiring: the cloud takes the machine back, or its lease has run out; it is
 	// no capacity to count on.
-	Doomed bool `json:"doomed,omitempty"`
+	Expiring bool `json:"doomed,omitempty"`
 	// Since is when the machine was rented or first seen.
 	Since core.WallTime `json:"since,omitempty"`
-	// Seen is the term under which its last block commanded it (pool only).
-	Seen core.Term `json:"seen,omitempty"`
+	// LastTerm is the term under which its last block commanded it (pool only).
+	LastTerm core.Term `json:"seen,omitempty"`
 	// Term is allocated when the machine is assigned to a block; the holder commands
 	// it under this or, once the block has been granted anew, the block's.
 	Term core.Term `json:"term,omitempty"`
-	// Fate says what becomes of a machine in the pool.
-	Fate Fate `json:"fate,omitempty"`
+	// PoolState says what becomes of a machine in the pool.
+	PoolState PoolState `json:"fate,omitempty"`
 }
 
-// Fate is what becomes of a machine in the pool.
-type Fate string
+// PoolState is what becomes of a machine in the pool.
+type PoolState string
 
 const (
-	// Free: it can be assigned to a block.
-	Free Fate = ""
-	// Returning: it is being returned to the cloud and must not be assigned.
-	Returning Fate = "returning"
-	// Gone: the cloud has confirmed that it and all on it are gone.
-	Gone Fate = "gone"
+	// PoolFree: it can be assigned to a block.
+	PoolFree PoolState = ""
+	// PoolReturning: it is being returned to the cloud and must not be assigned.
+	PoolReturning PoolState = "returning"
+	// PoolGone: the cloud has confirmed that it and all on it are gone.
+	PoolGone PoolState = "gone"
 )
 
 // Block is the record of a block; its machines are in the inventory of its number.
 type Block struct {
-	Number int          `json:"number"`
-	Holder core.Host    `json:"holder"`
-	Tenure core.LeaseID `json:"tenure"`
+	Number  int          `json:"number"`
+	Holder  core.Host    `json:"holder"`
+	LeaseID core.LeaseID `json:"tenure"`
 	// Term is that of the grant.
 	Term  core.Term `json:"term"`
 	Teams []string  `json:"teams"`
@@ -150,11 +150,11 @@
 // Job is the record of a job. When the job is over, Spec is dropped; what a
 // task uses stays, since tasks of a cancelled job count until they are gone.
 type Job struct {
-	Phase JobPhase      `json:"phase"`
-	Tasks int           `json:"tasks"`
-	At    core.WallTime `json:"at,omitempty"`
-	// Ended is when the job was found to be done, for the jobs that depend on it.
-	Ended    core.WallTime `json:"ended,omitempty"`
+	Phase      JobPhase      `json:"phase"`
+	Tasks      int           `json:"tasks"`
+	AcceptedAt core.WallTime `json:"at,omitempty"`
+	// EndedAt is when the job was found to be done, for the jobs that depend on it.
+	EndedAt  core.WallTime `json:"ended,omitempty"`
 	Team     string        `json:"team"`
 	CPUs     float64       `json:"cpus"`
 	GPUs     float64       `json:"gpus,omitempty"`
@@ -164,15 +164,15 @@
 
 // End returns the record of the job once it is over; at is when it was done.
 func (j Job) End(p JobPhase, at core.WallTime) Job {
-	j.Phase, j.Spec, j.Ended = p, nil, at
+	j.Phase, j.Spec, j.EndedAt = p, nil, at
 	return j
 }
 
-// Over tells whether the job has reached a final phase.
-func (j *Job) Over() bool { return j.Phase != JobAccepted }
+// Finished tells whether the job has reached a final phase.
+func (j *Job) Finished() bool { return j.Phase != JobAccepted }
 
-// Round is a record of tasks done, by job.
-type Round struct {
+// CompletionBatch is a record of tasks done, by job.
+type CompletionBatch struct {
 	Done map[core.JobID]core.IndexSet `json:"done"`
 }
 
--- a/internal/state/watch_test.go
+++ b/internal/state/watch_test.go
@@ -69,7 +69,7 @@
 	block, _ := strconv.Atoi(values.Get("blockMs"))
 	switch path {
 	case "/txn":
-		l.After(time.Millisecond, func() { answer(api.TxnAnswer{Revision: l.ring}) })
+		l.After(time.Millisecond, func() { answer(api.TxnResponse{Revision: l.ring}) })
 	case "/store":
 		l.After(time.Millisecond, func() { answer(api.ItemPage{Revision: l.ring}) })
 	case "/watch":
@@ -79,7 +79,7 @@
 
 // watch answers once there is a change after a revision, or when its time is over.
 func (l *timedLoop) watch(from uint64, until core.Time, answer func(any)) {
-	body := api.WatchAnswer{Revision: l.ring, Events: []api.Event{}}
+	body := api.WatchResponse{Revision: l.ring, Events: []api.Event{}}
 	for _, e := range l.events {
 		if e.Version > from {
 			body.Events = append(body.Events, e)
@@ -114,7 +114,7 @@
 	loop.ring++
 	proven, failed := 0, 0
 	for range 20 {
-		m.Fresh(func(ok bool) {
+		m.ConfirmFresh(func(ok bool) {
 			if ok {
 				proven++
 			} else {
@@ -138,13 +138,13 @@
 	loop.ring++
 	loop.events = append(loop.events, api.Event{Set: KeyTerm, Value: Put("", TermCounter{Last: 7}).Value, Version: loop.ring})
 	proven := false
-	m.Fresh(func(ok bool) { proven = ok })
+	m.ConfirmFresh(func(ok bool) { proven = ok })
 	loop.run(1900 * time.Millisecond)
 	if !proven || m.Term.Record.Last != 7 {
 		t.Fatalf("proven %v, term %d", proven, m.Term.Record.Last)
 	}
 	m.advance(core.Revision(loop.ring-1), []api.Event{{Set: KeyTerm, Value: Put("", TermCounter{Last: 3}).Value, Version: 90}})
-	if m.Term.Record.Last != 7 || !m.Shows(core.Revision(loop.ring)) {
+	if m.Term.Record.Last != 7 || !m.HasReached(core.Revision(loop.ring)) {
 		t.Fatalf("an older answer was taken in: term %d", m.Term.Record.Last)
 	}
 }
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -32,7 +32,7 @@
 // Fence shows a term to a worker and brings its report; nil if none came. The
 // term has been taken only if the report carries it.
 func (c *Client) Fence(addr string, term core.Term, season core.Session, done func(*api.Report)) {
-	body, _ := json.Marshal(api.Direct{Term: uint64(term), Season: uint64(season), Orders: []api.Order{}})
+	body, _ := json.Marshal(api.CommandRequest{Term: uint64(term), Session: uint64(season), Commands: []api.Command{}})
 	c.call.Call(core.Request{Addr: addr, Method: "POST", Path: "/do", Body: body, Timeout: timeout}, func(r core.Response) { done(report(r)) })
 }
 
@@ -55,8 +55,8 @@
 	return &Prober{c, most, map[core.MachineID]bool{}}
 }
 
-// Ask asks the machine that sent a report; there runs only if it answers.
-func (p *Prober) Ask(rep *api.Report, there func()) {
+// Probe asks the machine that sent a report; there runs only if it answers.
+func (p *Prober) Probe(rep *api.Report, there func()) {
 	id := core.MachineID(rep.Machine)
 	if p.open[id] || len(p.open) >= p.most {
 		return
