--- a/internal/block/dependency_test.go
+++ b/internal/block/dependency_test.go
@@ -48,16 +48,16 @@
 	loop := &storeLoop{}
 	log := slog.New(slog.DiscardHandler)
 	cfg := &config.Config{
-		Host: "stalk-0", Workers: config.Workers{Report: time.Second, Lease: 10 * time.Second, Cancel: 35 * time.Second},
-		StateLim: config.StateLimits{RPS: 100, WriteRPS: 40, ValueBytes: 8 << 10, TxnOps: 32},
-		Teams:    []config.Team{{Name: "red", CPUs: 20, CPUsMax: 100}},
+		Host: "stalk-0", Workers: config.WorkerTimings{Report: time.Second, Lease: 10 * time.Second, Cancel: 35 * time.Second},
+		StateLimits: config.StateLimits{RPS: 100, WriteRPS: 40, ValueBytes: 8 << 10, TxnOps: 32},
+		Teams:       []config.Team{{Name: "red", CPUs: 20, CPUsMax: 100}},
 	}
 	record := state.Block{Holder: cfg.Host, Term: 7, Teams: []string{"red"}}
 	loop.put(state.KeyBlock(0), record)
 	for _, j := range jobs {
 		loop.put(state.KeyJob(core.JobID(j.Spec.ID)), j)
 	}
-	client := state.NewClient(loop, loop, "", cfg.StateLim, 3)
+	client := state.NewClient(loop, loop, "", cfg.StateLimits, 3)
 	mirror := state.NewMirror(loop, client, log)
 	mirror.Start()
 	if !mirror.Complete() {
@@ -65,14 +65,14 @@
 	}
 	return New(Env{
 		Loop: loop, Log: log, Config: cfg, Host: cfg.Host, Mirror: mirror, State: client, Workers: worker.NewClient(loop),
-		Types: func() map[string]api.MachineType { return nil }, Kept: func() capacity.KeptKinds { return capacity.KeptKinds{} },
+		Types: func() map[string]api.MachineType { return nil }, GangKinds: func() capacity.GangKinds { return capacity.GangKinds{} },
 	}, &record)
 }
 
 // recordOf is the record of an accepted job of ten tasks of one CPU.
-func recordOf(id, rank string, at core.Wall, dependencies ...string) state.Job {
+func recordOf(id, rank string, at core.WallTime, dependencies ...string) state.Job {
 	spec := &api.Job{ID: id, Team: "red", Form: api.FormArray, Rank: rank, Tasks: 10, CPUs: 1, MemoryGB: 1, EstimateS: 10, Dependencies: dependencies}
-	return state.Job{Phase: state.JobAccepted, Tasks: 10, At: at, Team: "red", CPUs: 1, MemoryGB: 1, Spec: spec}
+	return state.Job{Phase: state.JobAccepted, Tasks: 10, AcceptedAt: at, Team: "red", CPUs: 1, MemoryGB: 1, Spec: spec}
 }
 
 // A job that waits for others has no waiting task, no place in the queue and no part of its
@@ -82,7 +82,7 @@
 	if n := h.jobs["req-2"].waiting(); n != 0 {
 		t.Errorf("%d tasks of a job wait though another has to be done first", n)
 	}
-	if n := h.Hint().Waiting; n != 20 {
+	if n := h.BlockHint().WaitingTasks; n != 20 {
 		t.Errorf("%d waiting tasks are told to the others, want 20", n)
 	}
 	var listed []core.JobID
@@ -101,7 +101,7 @@
 // alike; for one whose record the previous version wrote, without the time of its end, from
 // the submission. The deadline counts from the submission, however long the job waits.
 func TestTimesCountFromReadiness(t *testing.T) {
-	for _, tc := range []struct{ ended, ready core.Wall }{{50_000, 50_000}, {0, 1000}} {
+	for _, tc := range []struct{ ended, ready core.WallTime }{{50_000, 50_000}, {0, 1000}} {
 		second := recordOf("req-2", api.RankStandard, 1000, "req-1")
 		deadline := 30.0
 		second.Spec.DeadlineS = &deadline
@@ -113,7 +113,7 @@
 			t.Fatalf("ended at %d: %+v", tc.ended, j)
 		}
 		candidates := h.candidates(0)
-		if len(candidates) != 1 || candidates[0].At != tc.ready || candidates[0].Timing.Due[0] != 31_000 {
+		if len(candidates) != 1 || candidates[0].ReadyAt != tc.ready || candidates[0].Timing.Due[0] != 31_000 {
 			t.Errorf("ended at %d: %+v", tc.ended, candidates)
 		}
 	}
--- a/internal/block/follow.go
+++ b/internal/block/follow.go
@@ -8,8 +8,8 @@
 	"lichenstair/internal/state"
 )
 
-// Changed takes in what has changed in the mirror.
-func (h *Holder) Changed(t state.Touched) {
+// ApplyChanges takes in what has changed in the mirror.
+func (h *Holder) ApplyChanges(t state.ChangeSet) {
 	if h.state == released {
 		return
 	}
@@ -39,9 +39,9 @@
 		if m == nil {
 			m = h.addMachine(r, now)
 		}
-		m.up, m.asked, m.lost, m.term = r.Up, r.Asked, r.Lost, max(m.term, r.Term)
+		m.up, m.asked, m.lost, m.term = r.InUse, r.Draining, r.ReturnRequested, max(m.term, r.Term)
 	}
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		m := h.machines[id]
 		if !listed[id] {
 			if !m.empty() {
@@ -53,11 +53,11 @@
 		}
 	}
 	for p := range h.Mirror.Inventory(state.PoolInventory).All() {
-		if m := h.machines[p.ID]; m != nil && p.Fate == state.Gone && m.state != lapsed {
+		if m := h.machines[p.ID]; m != nil && p.PoolState == state.PoolGone && m.state != lapsed {
 			// The cloud has answered 200 to its return: it and all on it are gone.
 			h.clearMachine(m, releaseReturned)
 			h.moveMachine(m, lapsed)
-			m.floor = ^core.Season(0)
+			m.floor = ^core.Session(0)
 		}
 	}
 }
@@ -70,7 +70,7 @@
 		typ:      r.Type,
 		zone:     r.Zone,
 		spot:     r.Spot,
-		up:       r.Up,
+		up:       r.InUse,
 		term:     r.Term,
 		joined:   now,
 		idle:     now,
@@ -78,7 +78,7 @@
 		images:   map[string]bool{},
 		slots:    map[slotKey]*slot{},
 	}
-	if r.Up {
+	if r.InUse {
 		m.state = unsure
 		// Any holder before us may have answered it until its own time without contact
 		// was over.
@@ -103,7 +103,7 @@
 		return
 	}
 	j := h.jobs[id]
-	if e.Over() {
+	if e.Finished() {
 		if j != nil {
 			h.dropPlans(j)
 			delete(h.jobs, id)
@@ -126,7 +126,7 @@
 			h.Log.Info("all jobs before it are done", "job", id, "waited_ms", at-j.sent)
 		}
 	}
-	j.rank, j.due = max(j.rank, e.Urgency.Rank), e.Urgency.Due
+	j.rank, j.due = max(j.rank, e.Urgency.Rank), e.Urgency.Deadline
 	j.done.Union(e.Done)
 	if !j.pending.Empty() {
 		j.pending = without(j.pending, e.Done)
@@ -137,12 +137,12 @@
 func (h *Holder) addJob(id core.JobID, e *state.JobEntry) *job {
 	j := &job{
 		id:        id,
-		at:        e.At,
-		sent:      e.At,
+		at:        e.AcceptedAt,
+		sent:      e.AcceptedAt,
 		blocked:   true,
 		spec:      e.Spec,
 		rank:      placement.Rank(e.Spec.Rank),
-		need:      placement.Need{CPUs: e.CPUs, GPUs: e.GPUs, MemoryGB: e.MemoryGB},
+		need:      placement.Resources{CPUs: e.CPUs, GPUs: e.GPUs, MemoryGB: e.MemoryGB},
 		avoid:     map[core.MachineID]core.Time{},
 		failed:    map[core.MachineID]bool{},
 		inherited: h.state == recovering,
@@ -150,8 +150,8 @@
 	h.jobs[id] = j
 	h.Log.Info("job to place",
 		"job", id, "class", j.spec.Class, "team", j.spec.Team, "form", j.spec.Form, "tasks", j.spec.Tasks, "cpus", j.spec.CPUs, "memory_gb", j.spec.MemoryGB,
-		"spot", j.spec.Spot, "image", j.spec.Image, "estimate_s", j.spec.EstimateS, "age_ms", h.Loop.Wall()-j.at)
-	for _, machineID := range core.Keys(h.machines) {
+		"spot", j.spec.Spot, "image", j.spec.Image, "estimate_s", j.spec.EstimateS, "age_ms", h.Loop.WallNow()-j.at)
+	for _, machineID := range core.SortedKeys(h.machines) {
 		for _, s := range h.machines[machineID].list() {
 			if s.task.Job == id && s.booked() && s.task.Index < j.spec.Tasks {
 				j.attempts.add(s)
@@ -162,7 +162,7 @@
 }
 
 // without returns the task numbers of a set that are not in another.
-func without(set, other core.Set) (out core.Set) {
+func without(set, other core.IndexSet) (out core.IndexSet) {
 	for i := set.NextIn(0); i >= 0; i = set.NextIn(i + 1) {
 		if !other.Has(i) {
 			out.Add(i)
@@ -171,8 +171,8 @@
 	return out
 }
 
-// Cancelled takes in that a job is durably cancelled, before the mirror shows it.
-func (h *Holder) Cancelled(id core.JobID) {
+// ApplyCancellation takes in that a job is durably cancelled, before the mirror shows it.
+func (h *Holder) ApplyCancellation(id core.JobID) {
 	j := h.jobs[id]
 	if h.state == released || j == nil || j.cancelled {
 		return
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -19,17 +19,17 @@
 
 // Env is what a holder works with.
 type Env struct {
-	Loop    core.Loop
-	Log     *slog.Logger
-	Config  *config.Config
-	Host    core.Host
-	Mirror  *state.Mirror
-	State   *state.Client
-	Workers *worker.Client
-	Types   func() map[string]api.MachineType
-	Kept    func() capacity.KeptKinds
-	Policy  placement.Policy
-	Metrics *metrics.Metrics
+	Loop      core.Loop
+	Log       *slog.Logger
+	Config    *config.Config
+	Host      core.Host
+	Mirror    *state.Mirror
+	State     *state.Client
+	Workers   *worker.Client
+	Types     func() map[string]api.MachineType
+	GangKinds func() capacity.GangKinds
+	Policy    placement.Policy
+	Metrics   *metrics.Metrics
 }
 
 // holderState is the state of a holder.
@@ -99,7 +99,7 @@
 	h.Log = env.Log.With("block", rec.Number)
 	h.Log.Info("block granted to us", "term", rec.Term, "machines", h.Mirror.Inventory(rec.Number).Len(), "teams", rec.Teams, "revision", h.Mirror.Revision(), "proven_ago", h.sinceProof().String())
 	h.follow(rec)
-	for _, id := range core.Keys(h.Mirror.Jobs) {
+	for _, id := range core.SortedKeys(h.Mirror.Jobs) {
 		h.followJob(id)
 	}
 	h.become(recovering)
@@ -131,7 +131,7 @@
 // Release ends the holding.
 func (h *Holder) Release() {
 	h.become(released)
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		h.flush(h.machines[id])
 	}
 }
@@ -139,19 +139,19 @@
 // maxSilence is how long a holder may go on without contact to the state
 // service: a cancellation accepted elsewhere must still take effect in time,
 // which needs the workers' leases to run out before its deadline.
-func maxSilence(w config.Workers) time.Duration {
-	return w.Cancel - w.Lease - 2*margin - time.Duration(float64(w.Cancel)*2*core.Drift) - time.Second
+func maxSilence(w config.WorkerTimings) time.Duration {
+	return w.Cancel - w.Lease - 2*margin - time.Duration(float64(w.Cancel)*2*core.MaxClockDrift) - time.Second
 }
 
-// Entitled tells whether we may still answer workers.
-func (h *Holder) Entitled() bool {
-	at, ok := h.Mirror.Contact()
+// MayAnswerWorkers tells whether we may still answer workers.
+func (h *Holder) MayAnswerWorkers() bool {
+	at, ok := h.Mirror.FreshAsOf()
 	return h.state != released && ok && h.Loop.Now().Sub(at) < maxSilence(h.Config.Workers)
 }
 
 // sole is the last time at which the block is proven to have been ours alone.
 func (h *Holder) sole() core.Time {
-	at, ok := h.Mirror.Contact()
+	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
 		return h.at
 	}
@@ -160,7 +160,7 @@
 
 // sinceProof is how long ago the mirror was last proven to show everything.
 func (h *Holder) sinceProof() time.Duration {
-	at, ok := h.Mirror.Contact()
+	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
 		return -1
 	}
@@ -177,8 +177,8 @@
 	h.dirty = true
 }
 
-// StoodStill tells that the process did not run for a while.
-func (h *Holder) StoodStill() { h.awake = h.Loop.Now() }
+// NotePause tells that the process did not run for a while.
+func (h *Holder) NotePause() { h.awake = h.Loop.Now() }
 
 // quiet is how long a machine may say nothing before it counts as silent.
 func (h *Holder) quiet() time.Duration { return max(3*h.Config.Workers.Report, 2*time.Second) }
@@ -192,7 +192,7 @@
 	w := h.Config.Workers
 	quiet := h.quiet()
 	sole := h.sole()
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		m := h.machines[id]
 		if (!m.fenced && m.state != lapsed || m.unreachable && m.state == live) && now >= m.askNext {
 			h.fence(m)
@@ -201,7 +201,7 @@
 			h.moveMachine(m, silent)
 			h.cancelPlans(m)
 		}
-		if (m.state == live || m.state == silent || m.state == unsure) && sole > m.answer.Add(core.Stretch(w.Lease)+margin) {
+		if (m.state == live || m.state == silent || m.state == unsure) && sole > m.answer.Add(core.WithDrift(w.Lease)+margin) {
 			// The lease counts from the sending of the last answered report, which
 			// was before our answer; and until sole, nobody else can have answered.
 			// By our clock alone it is not sure: after a halt, or without the state
--- a/internal/block/machine.go
+++ b/internal/block/machine.go
@@ -31,7 +31,7 @@
 	typ   string
 	zone  string
 	spot  bool
-	total placement.Need
+	total placement.Resources
 	up    bool // durable
 	asked bool
 	lost  bool
@@ -43,9 +43,9 @@
 	// lowering is the same for a write that calls the machine unused.
 	lowering core.Revision
 
-	season      core.Season
-	tally       core.Tally
-	floor       core.Season // reports of this season and before are dead
+	season      core.Session
+	tally       core.Sequence
+	floor       core.Session // reports of this season and before are dead
 	fenced      bool
 	unheard     core.Time // since when it is answered without showing our term
 	unreachable bool      // it reports, but what we say does not reach it
@@ -74,13 +74,15 @@
 
 // held is a report whose answer is kept back for a moment: a worker with
 // nothing to do learns of a start at once, instead of with its next report.
-type held struct{ done func(api.ReportAnswer, bool) }
+type held struct {
+	done func(api.ReportResponse, bool)
+}
 
-func (m *machine) booked() placement.Need {
-	var n placement.Need
+func (m *machine) booked() placement.Resources {
+	var n placement.Resources
 	for _, s := range m.slots {
 		if s.booked() {
-			n = n.Plus(s.need)
+			n = n.Add(s.need)
 		}
 	}
 	return n
--- a/internal/block/slot.go
+++ b/internal/block/slot.go
@@ -32,13 +32,13 @@
 	state   slotState
 	machine *machine
 	team    string
-	need    placement.Need
+	need    placement.Resources
 	view    string // state as reported
 	cause   string
 
 	sentAt     core.Time
-	sentSeason core.Season
-	sentTally  core.Tally
+	sentSeason core.Session
+	sentTally  core.Sequence
 
 	ends    core.Time  // by estimate
 	stop    stopReason // why it is to be stopped, also if its job goes on
--- a/internal/capacity/late.go
+++ b/internal/capacity/late.go
@@ -22,7 +22,7 @@
 )
 
 // Overdue tells whether a job has waited too long without having begun.
-func Overdue(at, now core.Wall, begun bool) bool {
+func Overdue(at, now core.WallTime, begun bool) bool {
 	return !begun && time.Duration(now-at)*time.Millisecond > beginBy
 }
 
@@ -47,12 +47,12 @@
 	return placement.NotStarving
 }
 
-// Due lists by when an array should be complete, for each of the users' aims on its
+// DueTimes lists by when an array should be complete, for each of the users' aims on its
 // completion, the one that leaves least time first: those on its deadline, if it has
 // one, else those on the time that jobs of its class may take. A deadline counts from
 // sent, when the job was submitted, all else from at, since when it may run. needed is by
 // when jobs that depend on it want it done (0: any time).
-func Due(aims []config.Aim, spec *api.Job, sent, at, needed core.Wall) (due []core.Wall) {
+func DueTimes(aims []config.Objective, spec *api.Job, sent, at, needed core.WallTime) (due []core.WallTime) {
 	if spec.Form == api.FormGang {
 		return nil
 	}
@@ -61,7 +61,7 @@
 		switch {
 		case a.Class != spec.Class:
 		case a.Kind == "deadline" && spec.DeadlineS != nil:
-			deadlines = append(deadlines, *spec.DeadlineS*cmp.Or(a.Times, 1))
+			deadlines = append(deadlines, *spec.DeadlineS*cmp.Or(a.DeadlineFactor, 1))
 		case a.Kind == "finished" && spec.DeadlineS == nil:
 			within = append(within, a.Within.Seconds())
 		}
@@ -70,10 +70,10 @@
 		deadlines = append(deadlines, *spec.DeadlineS)
 	}
 	for _, s := range deadlines {
-		due = append(due, sent+core.Wall(s*1000))
+		due = append(due, sent+core.WallTime(s*1000))
 	}
 	for _, s := range within {
-		due = append(due, at+core.Wall(s*1000))
+		due = append(due, at+core.WallTime(s*1000))
 	}
 	if needed > 0 {
 		due = append(due, needed)
@@ -82,18 +82,18 @@
 	return due
 }
 
-// Timed tells whether users have stated by when a job should begin or be complete:
+// TimeSensitive tells whether users have stated by when a job should begin or be complete:
 // by an aim on its class, or by its deadline.
-func Timed(aims []config.Aim, spec *api.Job) bool {
-	return spec.DeadlineS != nil || slices.ContainsFunc(aims, func(a config.Aim) bool {
+func TimeSensitive(aims []config.Objective, spec *api.Job) bool {
+	return spec.DeadlineS != nil || slices.ContainsFunc(aims, func(a config.Objective) bool {
 		return a.Class == spec.Class && (a.Kind == "wait" || a.Kind == "finished")
 	})
 }
 
-// Late tells whether a waiting job can no longer meet any of the aims that its
+// MissesObjectives tells whether a waiting job can no longer meet any of the aims that its
 // users stated for its class, nor its own deadline. Such a job yields to those
 // that can still be in time.
-func Late(aims []config.Aim, spec *api.Job, sent, at, now core.Wall) bool {
+func MissesObjectives(aims []config.Objective, spec *api.Job, sent, at, now core.WallTime) bool {
 	age := time.Duration(now-at) * time.Millisecond
 	if age > lateFor {
 		return false
@@ -109,7 +109,7 @@
 		times := 1.0
 		for _, a := range aims {
 			if a.Kind == "deadline" && a.Class == spec.Class {
-				times = max(times, a.Times)
+				times = max(times, a.DeadlineFactor)
 			}
 		}
 		if !check(time.Duration(float64(deadline)*times) - time.Duration(now-sent)*time.Millisecond - estimate) {
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -26,21 +26,21 @@
 	State   *state.Client
 	Cloud   *cloud.Client
 	Workers *worker.Client
-	// Kept lists the kinds of machine that are always kept for gangs.
-	Kept func() capacity.KeptKinds
-	// Isolated names the controller that should hold a block whose holder does not
+	// GangKinds lists the kinds of machine that are always kept for gangs.
+	GangKinds func() capacity.GangKinds
+	// ReplacementHolder names the controller that should hold a block whose holder does not
 	// hear its machines.
-	Isolated func(block int) (core.Host, bool)
-	// Settled tells whether a block's holder has found its machines.
-	Settled func(block int) bool
-	// Failing lists the jobs that have only failed so far.
-	Failing func() map[core.JobID]bool
-	// Running counts the tasks of jobs that run.
-	Running func() map[core.JobID]int
-	// Sure tells whether our tenure has certainly not run out.
-	Sure func() bool
-	// Idle lists machines of blocks on which nothing is booked.
-	Idle func() map[core.MachineID]bool
+	ReplacementHolder func(block int) (core.Host, bool)
+	// HolderReady tells whether a block's holder has found its machines.
+	HolderReady func(block int) bool
+	// FailingJobs lists the jobs that have only failed so far.
+	FailingJobs func() map[core.JobID]bool
+	// RunningTasks counts the tasks of jobs that run.
+	RunningTasks func() map[core.JobID]int
+	// LeaseValid tells whether our tenure has certainly not run out.
+	LeaseValid func() bool
+	// IdleMachines lists machines of blocks on which nothing is booked.
+	IdleMachines func() map[core.MachineID]bool
 }
 
 // Leader acts for one term.
@@ -68,9 +68,9 @@
 	rentals     int                     // in flight
 	stable      map[core.Host]core.Time
 	notes       []note // of the transaction being composed
-	isolations  map[core.Tenure]isolation
-	trend       capacity.Trend
-	boots       capacity.Boots
+	isolations  map[core.LeaseID]isolation
+	trend       capacity.DemandTrend
+	boots       capacity.BootTimes
 	booting     map[core.MachineID]bool // not known to have come up yet
 	planAt      core.Time               // of the last plan
 	planDue     bool                    // the next one is on its way
@@ -82,7 +82,7 @@
 	l := &Leader{
 		Env: env, record: record, list: map[core.MachineID]api.ListedMachine{}, closed: map[capacity.Offer]core.Time{},
 		free: map[core.MachineID]core.Time{}, unknown: worker.NewProber(env.Workers, maxAsking), sending: map[core.MachineID]bool{}, done: map[core.MachineID]bool{}, booting: map[core.MachineID]bool{},
-		stable: map[core.Host]core.Time{}, isolations: map[core.Tenure]isolation{},
+		stable: map[core.Host]core.Time{}, isolations: map[core.LeaseID]isolation{},
 	}
 	l.Log.Info("we lead", "term", record.Record.Term)
 	return l
@@ -94,8 +94,8 @@
 // Version returns the version of the leader key under which it acts.
 func (l *Leader) Version() core.Revision { return l.record.Version }
 
-// End stops acting.
-func (l *Leader) End() {
+// Stop stops acting.
+func (l *Leader) Stop() {
 	l.ended = true
 	l.Log.Info("we no longer lead", "term", l.record.Record.Term)
 }
@@ -139,7 +139,7 @@
 		l.listing = true
 		l.Cloud.List(func(ms []api.ListedMachine, ok bool) {
 			l.listing = false
-			l.listed = l.Loop.Now().Add(max(l.Config.CloudLim.ListLag, 3*time.Second))
+			l.listed = l.Loop.Now().Add(max(l.Config.CloudLimits.ListLag, 3*time.Second))
 			if !ok || l.ended {
 				return
 			}
@@ -160,7 +160,7 @@
 	}
 	t := api.Txn{If: []api.Condition{{Key: state.KeyLeader, Version: uint64(l.record.Version)}}}
 	l.notes = nil
-	send := l.State.TxnFirst // what blocks need to be held
+	send := l.State.TxnHighPriority // what blocks need to be held
 	for _, step := range []func(*api.Txn){l.found, l.grant} {
 		if step(&t); len(t.Then) > 0 {
 			break
@@ -187,12 +187,12 @@
 			for _, n := range notes {
 				l.Log.Info(n.text, n.args...)
 			}
-			l.Mirror.Await(r.Revision, next)
+			l.Mirror.WaitFor(r.Revision, next)
 		case state.Refused:
 			l.again = l.Loop.Now().Add(500 * time.Millisecond)
 			next(false)
 		default:
-			l.Mirror.Fresh(func(ok bool) {
+			l.Mirror.ConfirmFresh(func(ok bool) {
 				if !ok {
 					l.again = l.Loop.Now().Add(300 * time.Millisecond)
 				}
@@ -234,7 +234,7 @@
 
 // live lists the controllers with a tenure, by name.
 func (l *Leader) live() (out []state.Member) {
-	for _, h := range core.Keys(l.Mirror.Members) {
+	for _, h := range core.SortedKeys(l.Mirror.Members) {
 		out = append(out, l.Mirror.Members[h].Record)
 	}
 	return out
@@ -243,7 +243,7 @@
 // holds tells whether a block's holder still has the tenure of its grant.
 func (l *Leader) holds(b *state.Block) bool {
 	m, ok := l.Mirror.Members[b.Holder]
-	return ok && m.Record.Tenure == b.Tenure
+	return ok && m.Record.LeaseID == b.LeaseID
 }
 
 // writeTypes keeps a durable copy of the machine types, so that nodes know
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -17,16 +17,16 @@
 	// Beside the parts, the counters of terms and arrivals may be written.
 	// A larger transaction than a second's worth of changes kept grants waiting for
 	// seconds behind it.
-	edit := l.Mirror.Edit(l.Config.StateLim, l.State.Batch(l.Config.StateLim.TxnOps-2), 0)
+	edit := l.Mirror.Edit(l.Config.StateLimits, l.State.BatchSize(l.Config.StateLimits.TxnOps-2), 0)
 	l.noteGone(edit)
 	l.lookAtList(edit)
 	l.noteRented(edit)
-	plan := l.plan(edit, now, l.Loop.Wall())
+	plan := l.plan(edit, now, l.Loop.WallNow())
 	changed := map[int]bool{} // blocks whose machines are written
 	l.assign(t, edit, plan.Assign, changed)
-	l.askBack(edit, plan.Ask, changed)
+	l.askBack(edit, plan.Drain, changed)
 	l.markReturned(edit, plan.Return)
-	for _, n := range core.Keys(changed) {
+	for _, n := range core.SortedKeys(changed) {
 		l.underBlock(t, n)
 	}
 	edit.Apply(t)
@@ -59,18 +59,18 @@
 	for _, n := range blocks {
 		terms[n] = 0
 	}
-	for i, n := range core.Keys(terms) {
+	for i, n := range core.SortedKeys(terms) {
 		terms[n] = l.Mirror.Term.Record.Last + 1 + core.Term(i)
 	}
 	moved := false
-	for _, id := range core.Keys(blocks) {
+	for _, id := range core.SortedKeys(blocks) {
 		n := blocks[id]
 		m, ok := edit.Find(state.PoolInventory, id)
 		if !ok || l.Mirror.Blocks[n].Record == nil {
 			continue
 		}
 		m.Term = terms[n]
-		m.Seen, m.Up, m.Asked, m.Lost, m.Doomed = 0, false, false, false, false
+		m.LastTerm, m.InUse, m.Draining, m.ReturnRequested, m.Expiring = 0, false, false, false, false
 		if !edit.Move(state.PoolInventory, n, m) {
 			break // the rest goes with the next transaction
 		}
@@ -90,7 +90,7 @@
 			continue
 		}
 		m, _ := edit.Find(n, id)
-		m.Asked = true
+		m.Draining = true
 		if edit.Set(n, m) {
 			changed[n] = true
 			l.note("machine is asked back", "machine", id, "block", n)
@@ -103,10 +103,10 @@
 func (l *Leader) markReturned(edit *state.Edit, ids []core.MachineID) {
 	for _, id := range ids {
 		m, ok := edit.Find(state.PoolInventory, id)
-		if !ok || m.Fate != state.Free {
+		if !ok || m.PoolState != state.PoolFree {
 			continue
 		}
-		m.Fate = state.Returning
+		m.PoolState = state.PoolReturning
 		if edit.Set(state.PoolInventory, m) {
 			l.note("machine is returned", "machine", id, "type", m.Type)
 		}
@@ -116,24 +116,24 @@
 // noteGone writes down which returns the cloud has confirmed, and forgets
 // machines that are gone once the list no longer can name them.
 func (l *Leader) noteGone(edit *state.Edit) {
-	wall := l.Loop.Wall()
-	for _, id := range core.Keys(l.done) {
+	wall := l.Loop.WallNow()
+	for _, id := range core.SortedKeys(l.done) {
 		m, pooled := edit.Find(state.PoolInventory, id)
 		_, held := l.Mirror.MachineBlock(id)
-		if !pooled && !held || pooled && m.Fate == state.Gone {
+		if !pooled && !held || pooled && m.PoolState == state.PoolGone {
 			delete(l.done, id)
 			continue
 		}
-		m.ID, m.Fate, m.Since = id, state.Gone, wall
+		m.ID, m.PoolState, m.Since = id, state.PoolGone, wall
 		if pooled {
 			edit.Set(state.PoolInventory, m)
 		} else {
 			edit.Add(state.PoolInventory, m)
 		}
 	}
-	listed := core.Wall(3*l.Config.CloudLim.ListLag.Milliseconds() + 20000)
+	listed := core.WallTime(3*l.Config.CloudLimits.ListLag.Milliseconds() + 20000)
 	for m := range l.Mirror.Inventory(state.PoolInventory).All() {
-		if _, held := l.Mirror.MachineBlock(m.ID); m.Fate == state.Gone && !held && wall-m.Since > listed {
+		if _, held := l.Mirror.MachineBlock(m.ID); m.PoolState == state.PoolGone && !held && wall-m.Since > listed {
 			edit.Remove(state.PoolInventory, m.ID)
 		}
 	}
@@ -141,11 +141,11 @@
 
 // lookAtList adopts machines that nobody knows of, and gives back failed ones.
 func (l *Leader) lookAtList(edit *state.Edit) {
-	for _, id := range core.Keys(l.list) {
+	for _, id := range core.SortedKeys(l.list) {
 		m := l.list[id]
 		known, pooled := edit.Find(state.PoolInventory, id)
 		if m.Phase == api.MachineFailed {
-			if !pooled || known.Fate != state.Gone {
+			if !pooled || known.PoolState != state.PoolGone {
 				l.sendBack(id)
 			}
 			continue
@@ -155,7 +155,7 @@
 		}
 		adopted := state.Machine{
 			ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			Since: l.Loop.Wall() - core.Wall(m.AgeS*1000), Seen: l.Mirror.Term.Record.Last,
+			Since: l.Loop.WallNow() - core.WallTime(m.AgeS*1000), LastTerm: l.Mirror.Term.Record.Last,
 		}
 		if edit.Add(state.PoolInventory, adopted) {
 			l.note("machine adopted", "machine", id, "type", m.Type, "phase", m.Phase)
@@ -187,15 +187,15 @@
 	return false
 }
 
-// Saw notes a machine that reports though no block has it.
-func (l *Leader) Saw(rep *api.Report) {
+// NoteUnassigned notes a machine that reports though no block has it.
+func (l *Leader) NoteUnassigned(rep *api.Report) {
 	id := core.MachineID(rep.Machine)
 	if _, known := l.list[id]; known || l.ended {
 		return
 	}
 	// The report may be a late copy from a machine that is gone: only an answer
 	// to a question shows that it is there.
-	l.unknown.Ask(rep, func() {
+	l.unknown.Probe(rep, func() {
 		if _, known := l.list[id]; known || l.ended {
 			return
 		}
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -13,24 +13,24 @@
 )
 
 // plan asks the capacity package what should be where.
-func (l *Leader) plan(edit *state.Edit, now core.Time, wall core.Wall) capacity.Plan {
-	in := capacity.Input{Now: wall, Types: l.priced(), Kept: l.Kept(), TeamMax: map[string]float64{}, Closed: l.closedOffers(now), Idle: l.Config.Operator.Idle}
+func (l *Leader) plan(edit *state.Edit, now core.Time, wall core.WallTime) capacity.Plan {
+	in := capacity.Input{Now: wall, Types: l.priced(), GangKinds: l.GangKinds(), TeamQuota: map[string]float64{}, UnavailableOffers: l.closedOffers(now), IdleTimeout: l.Config.Operator.IdleTimeout}
 	for _, t := range l.Mirror.Teams(l.Config.Teams) {
-		in.TeamMax[t.Name] = t.CPUsMax
+		in.TeamQuota[t.Name] = t.CPUsMax
 	}
-	idle := l.Idle()
+	idle := l.IdleMachines()
 	waiting := l.watchBoots(edit, now, wall, in.Types, idle)
 	doubtful, hopeless := l.judgeBoots(edit, now, &in, waiting)
 	in.Machines = append(l.pooledMachines(edit, now, doubtful), l.blockMachines(edit, idle, doubtful)...)
 	in.Jobs = l.unfinishedJobs(wall)
-	l.trend.Arrivals(now, slices.DeleteFunc(slices.Clone(in.Jobs), func(j *capacity.Job) bool { return j.Expected }), in.Kept, in.Types)
-	in.Keep = l.trend.Keep()
-	plan := capacity.Make(in)
+	l.trend.ObserveArrivals(now, slices.DeleteFunc(slices.Clone(in.Jobs), func(j *capacity.Job) bool { return j.ReadySoon }), in.GangKinds, in.Types)
+	in.Forecast = l.trend.Forecast()
+	plan := capacity.MakePlan(in)
 	for _, id := range hopeless {
 		l.note("machine has not come up; it is returned", "machine", id, "age", waiting[id].Age.String())
 	}
 	plan.Return = append(plan.Return, hopeless...)
-	l.trend.Note(now, plan.Want)
+	l.trend.Observe(now, plan.Demand)
 	return plan
 }
 
@@ -49,20 +49,20 @@
 
 // judgeBoots tells which machines should long have come up, and which of the pool never
 // will, and closes the offers of which too many are overdue.
-func (l *Leader) judgeBoots(edit *state.Edit, now core.Time, in *capacity.Input, waiting map[core.MachineID]capacity.Pending) (doubtful map[core.MachineID]bool, hopeless []core.MachineID) {
+func (l *Leader) judgeBoots(edit *state.Edit, now core.Time, in *capacity.Input, waiting map[core.MachineID]capacity.PendingMachine) (doubtful map[core.MachineID]bool, hopeless []core.MachineID) {
 	usual := func(typ string) time.Duration { return core.Seconds(in.Types[typ].BootS) }
 	doubtful = map[core.MachineID]bool{}
-	var pending []capacity.Pending
-	for _, id := range core.Keys(waiting) {
+	var pending []capacity.PendingMachine
+	for _, id := range core.SortedKeys(waiting) {
 		boot := waiting[id]
 		pending = append(pending, boot)
-		doubtful[id] = l.boots.Doubtful(now, boot, usual(boot.Type))
-		if _, pooled := edit.Find(state.PoolInventory, id); pooled && l.boots.Hopeless(now, boot, usual(boot.Type)) {
+		doubtful[id] = l.boots.Overdue(now, boot, usual(boot.Type))
+		if _, pooled := edit.Find(state.PoolInventory, id); pooled && l.boots.TimedOut(now, boot, usual(boot.Type)) {
 			hopeless = append(hopeless, id)
 		}
 	}
-	for offer := range l.boots.Troubled(now, pending, usual) {
-		in.Closed[offer] = true
+	for offer := range l.boots.StalledOffers(now, pending, usual) {
+		in.UnavailableOffers[offer] = true
 	}
 	return doubtful, hopeless
 }
@@ -72,7 +72,7 @@
 func (l *Leader) pooledMachines(edit *state.Edit, now core.Time, doubtful map[core.MachineID]bool) (out []*capacity.Machine) {
 	pooled := map[core.MachineID]bool{}
 	for _, m := range edit.All(state.PoolInventory) {
-		if m.Fate != state.Free {
+		if m.PoolState != state.PoolFree {
 			continue
 		}
 		pooled[m.ID] = true
@@ -80,7 +80,7 @@
 			l.free[m.ID] = now
 		}
 		machine := l.describe(&m, capacity.NoBlock, doubtful)
-		machine.Free = now.Sub(l.free[m.ID])
+		machine.FreeFor = now.Sub(l.free[m.ID])
 		out = append(out, machine)
 	}
 	for id := range l.free {
@@ -96,15 +96,15 @@
 func (l *Leader) blockMachines(edit *state.Edit, idle, doubtful map[core.MachineID]bool) (out []*capacity.Machine) {
 	leaving := map[core.MachineID]bool{}
 	for _, m := range edit.All(state.PoolInventory) {
-		leaving[m.ID] = m.Fate != state.Free
+		leaving[m.ID] = m.PoolState != state.PoolFree
 	}
-	for _, n := range core.Keys(l.Mirror.Blocks) {
+	for _, n := range core.SortedKeys(l.Mirror.Blocks) {
 		for m := range l.Mirror.Inventory(n).All() {
-			if m.Lost || m.Doomed || leaving[m.ID] {
+			if m.ReturnRequested || m.Expiring || leaving[m.ID] {
 				continue
 			}
 			machine := l.describe(&m, n, doubtful)
-			machine.Asked, machine.Idle = m.Asked, idle[m.ID]
+			machine.Draining, machine.Idle = m.Draining, idle[m.ID]
 			out = append(out, machine)
 		}
 	}
@@ -112,25 +112,25 @@
 }
 
 func (l *Leader) describe(m *state.Machine, block int, doubtful map[core.MachineID]bool) *capacity.Machine {
-	return &capacity.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Block: block, Ready: l.ready(m), Doubtful: doubtful[m.ID]}
+	return &capacity.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Block: block, Ready: l.ready(m), BootOverdue: doubtful[m.ID]}
 }
 
 // unfinishedJobs describes the jobs that may run, and those that are expected to before
 // long, the oldest first.
-func (l *Leader) unfinishedJobs(wall core.Wall) (jobs []*capacity.Job) {
-	failing, running := l.Failing(), l.Running()
+func (l *Leader) unfinishedJobs(wall core.WallTime) (jobs []*capacity.Job) {
+	failing, running := l.FailingJobs(), l.RunningTasks()
 	for id, e := range l.Mirror.Jobs {
-		if e.Over() || e.Spec == nil {
+		if e.Finished() || e.Spec == nil {
 			continue
 		}
 		if j := l.describeJob(id, e, wall, running); j != nil {
-			j.Probe = failing[id]
+			j.Failing = failing[id]
 			jobs = append(jobs, j)
 		}
 	}
 	sort.Slice(jobs, func(a, b int) bool {
-		if jobs[a].At != jobs[b].At {
-			return jobs[a].At < jobs[b].At
+		if jobs[a].ReadyAt != jobs[b].ReadyAt {
+			return jobs[a].ReadyAt < jobs[b].ReadyAt
 		}
 		return jobs[a].ID < jobs[b].ID
 	})
@@ -144,18 +144,18 @@
 	guarantees := capacity.NewGuarantees(l.Config.Teams)
 	for _, expected := range []bool{false, true} {
 		for _, j := range jobs {
-			if j.Expected != expected {
+			if j.ReadySoon != expected {
 				continue
 			}
-			j.Guaranteed = guarantees.Within(j.Team, j.Need.CPUs*float64(j.Remaining))
-			j.Timed = j.Timed || j.Guaranteed
+			j.Guaranteed = guarantees.AddJob(j.Team, j.Need.CPUs*float64(j.Remaining))
+			j.TimeSensitive = j.TimeSensitive || j.Guaranteed
 		}
 	}
 }
 
 // describeJob describes an unfinished job, or nothing: no machine is kept or rented for what
 // cannot start.
-func (l *Leader) describeJob(id core.JobID, e *state.JobEntry, wall core.Wall, running map[core.JobID]int) *capacity.Job {
+func (l *Leader) describeJob(id core.JobID, e *state.JobEntry, wall core.WallTime, running map[core.JobID]int) *capacity.Job {
 	block, ok := l.Mirror.TeamBlock(e.Team)
 	at, ready := l.Mirror.ReadyAt(e)
 	expected := !ready && l.Mirror.ReadySoon(e, func(id core.JobID) bool { return running[id] > 0 })
@@ -166,16 +166,16 @@
 		at = wall
 	}
 	j := &capacity.Job{
-		Job: placement.JobOf(id, at, e.Spec), Block: block, Remaining: e.Tasks - e.Done.Len(), Running: running[id],
-		Expected: expected, Announced: len(e.Spec.Dependencies) > 0,
+		Job: placement.NewJob(id, at, e.Spec), Block: block, Remaining: e.Tasks - e.Done.Len(), Running: running[id],
+		ReadySoon: expected, HasDependencies: len(e.Spec.Dependencies) > 0,
 	}
 	j.Overdue = capacity.Overdue(at, wall, j.Running > 0 || !e.Done.Empty())
 	j.Rank = max(j.Rank, e.Urgency.Rank)
-	j.Timed = e.Urgency.Due > 0 || capacity.Timed(l.Config.Aims, e.Spec)
+	j.TimeSensitive = e.Urgency.Deadline > 0 || capacity.TimeSensitive(l.Config.Objectives, e.Spec)
 	if j.Running == 0 {
 		j.Starvation = capacity.StarvationAfter(time.Duration(wall-at) * time.Millisecond)
 	}
-	if due := capacity.Due(l.Config.Aims, e.Spec, e.At, at, e.Urgency.Due); len(due) > 0 {
+	if due := capacity.DueTimes(l.Config.Objectives, e.Spec, e.AcceptedAt, at, e.Urgency.Deadline); len(due) > 0 {
 		j.Deadline = due[0]
 	}
 	return j
@@ -183,21 +183,21 @@
 
 // watchBoots follows which machines have not come up yet, and how long those took that
 // have.
-func (l *Leader) watchBoots(edit *state.Edit, now core.Time, wall core.Wall, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.Pending {
-	waiting := map[core.MachineID]capacity.Pending{}
+func (l *Leader) watchBoots(edit *state.Edit, now core.Time, wall core.WallTime, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.PendingMachine {
+	waiting := map[core.MachineID]capacity.PendingMachine{}
 	look := func(m *state.Machine) {
 		age := time.Duration(wall-m.Since) * time.Millisecond
 		switch up := l.ready(m) || idle[m.ID]; {
-		case !up && m.Since > 0 && m.Fate == state.Free && !m.Lost:
-			waiting[m.ID] = capacity.Pending{Offer: capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, Age: age}
+		case !up && m.Since > 0 && m.PoolState == state.PoolFree && !m.ReturnRequested:
+			waiting[m.ID] = capacity.PendingMachine{Offer: capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, Age: age}
 		case up && l.booting[m.ID]:
-			l.boots.Came(now, m.Type, age, core.Seconds(types[m.Type].BootS))
+			l.boots.Record(now, m.Type, age, core.Seconds(types[m.Type].BootS))
 		}
 	}
 	for _, m := range edit.All(state.PoolInventory) {
 		look(&m)
 	}
-	for _, n := range core.Keys(l.Mirror.Blocks) {
+	for _, n := range core.SortedKeys(l.Mirror.Blocks) {
 		for m := range l.Mirror.Inventory(n).All() {
 			look(&m)
 		}
@@ -211,5 +211,5 @@
 
 // ready tells whether a machine has booted: it was in use, or the list says so.
 func (l *Leader) ready(m *state.Machine) bool {
-	return m.Up || m.Seen > 0 || l.list[m.ID].Phase == api.MachineRunning
+	return m.InUse || m.LastTerm > 0 || l.list[m.ID].Phase == api.MachineRunning
 }
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if n.mirror.Jobs[id] != nil {
-		n.Get(id, reply)
+		n.GetJob(id, reply)
 		return
 	}
 	if why, field := n.impossible(&j); why != "" {
@@ -69,9 +69,9 @@
 	}
 	n.trim(&j)
 	raw, err := json.Marshal(state.Job{
-		Phase: state.JobAccepted, Tasks: j.Tasks, At: n.loop.Wall(), Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Spec: &j,
+		Phase: state.JobAccepted, Tasks: j.Tasks, AcceptedAt: n.loop.WallNow(), Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Spec: &j,
 	})
-	if err != nil || len(raw) > n.cfg.StateLim.ValueBytes {
+	if err != nil || len(raw) > n.cfg.StateLimits.ValueBytes {
 		field := ""
 		if len(j.Dependencies) > 0 {
 			field = api.FieldDependencies
@@ -80,7 +80,7 @@
 		return
 	}
 	if len(n.creates) >= maxCreates {
-		reply(Answer{Status: 429, Body: api.Error{Error: "too many submissions"}, RetryAfter: n.cfg.Operator.RetryAfter})
+		reply(Response{Status: 429, Body: api.Error{Error: "too many submissions"}, RetryAfter: n.cfg.Operator.RetryAfter})
 		return
 	}
 	n.creates = append(n.creates, &create{id, raw, n.loop.Now().Add(createWait), len(j.Dependencies) > 0, reply})
@@ -133,12 +133,12 @@
 
 // impossible tells why a job can never run, or nothing.
 func (n *Node) impossible(j *api.Job) (why, field string) {
-	need := placement.Need{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
+	need := placement.Resources{CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB}
 	p := placement.Job{Types: j.Types}
 	fits := false
 	for name, t := range n.types() {
 		for _, zone := range t.Zones {
-			if (j.Zone == nil || *j.Zone == zone) && p.Allows(name, zone, false) && need.Fits(placement.Room(t)) {
+			if (j.Zone == nil || *j.Zone == zone) && p.Allows(name, zone, false) && need.Fits(placement.CapacityOf(t)) {
 				fits = true
 			}
 		}
@@ -171,7 +171,7 @@
 	t := api.Txn{}
 	size := 0
 	var batch []*create
-	most := n.state.Affordable(n.cfg.StateLim.TxnOps)
+	most := n.state.WriteBudget(n.cfg.StateLimits.TxnOps)
 	seen := map[core.JobID]bool{}
 	for len(n.creates) > 0 && len(batch) < most {
 		c := n.creates[0]
@@ -191,10 +191,10 @@
 		case state.Applied:
 			for _, c := range batch {
 				if !c.after {
-					c.reply(Answer{Status: 201, Body: api.JobStatus{ID: string(c.id), Phase: api.PhaseQueued}})
+					c.reply(Response{Status: 201, Body: api.JobStatus{ID: string(c.id), Phase: api.PhaseQueued}})
 					continue
 				}
-				n.mirror.Await(r.Revision, func(ok bool) {
+				n.mirror.WaitFor(r.Revision, func(ok bool) {
 					if e := n.mirror.Jobs[c.id]; ok && e != nil {
 						created := n.known(c.id, e)
 						created.Status = 201
@@ -218,7 +218,7 @@
 
 // settle looks which of a batch exist, and tries the others again.
 func (n *Node) settle(batch []*create) {
-	n.mirror.Fresh(func(ok bool) {
+	n.mirror.ConfirmFresh(func(ok bool) {
 		for _, c := range batch {
 			e := n.mirror.Jobs[c.id]
 			switch {
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -8,10 +8,10 @@
 	"lichenstair/internal/state"
 )
 
-// Report answers a worker's report.
-func (n *Node) Report(body []byte, reply Reply) {
+// HandleReport answers a worker's report.
+func (n *Node) HandleReport(body []byte, reply Reply) {
 	var rep api.Report
-	if api.Decode(body, &rep) != nil || rep.Machine == "" || rep.Season == 0 || rep.Addr == "" || rep.Type == "" {
+	if api.Decode(body, &rep) != nil || rep.Machine == "" || rep.Session == 0 || rep.Addr == "" || rep.Type == "" {
 		reply(refuse(400, "not a report", ""))
 		return
 	}
@@ -23,7 +23,7 @@
 	num, ok := n.mirror.MachineBlock(id)
 	if !ok {
 		if n.leader != nil {
-			n.leader.Saw(&rep)
+			n.leader.NoteUnassigned(&rep)
 		}
 		n.park(&rep, reply)
 		return
@@ -41,9 +41,9 @@
 		n.redirect(id, reply)
 		return
 	}
-	h.Report(&rep, func(a api.ReportAnswer, ok bool) {
+	h.HandleReport(&rep, func(a api.ReportResponse, ok bool) {
 		if ok {
-			reply(Answer{Status: 200, Body: a})
+			reply(Response{Status: 200, Body: a})
 			return
 		}
 		n.park(&rep, reply)
@@ -71,10 +71,10 @@
 		return
 	}
 	now := n.loop.Now()
-	n.parked = append(n.parked, parked{rep, now, now.Add(n.cfg.Workers.Hold()), now.Add(doubtTime), reply})
-	n.log.Debug("report waits for its machine's holder", "machine", rep.Machine, "season", rep.Season, "tally", rep.Tally)
+	n.parked = append(n.parked, parked{rep, now, now.Add(n.cfg.Workers.MaxReportHold()), now.Add(doubtTime), reply})
+	n.log.Debug("report waits for its machine's holder", "machine", rep.Machine, "season", rep.Session, "tally", rep.Sequence)
 	n.loop.After(doubtTime, n.unpark)
-	n.loop.After(n.cfg.Workers.Hold(), n.unpark)
+	n.loop.After(n.cfg.Workers.MaxReportHold(), n.unpark)
 	n.unpark()
 }
 
@@ -90,10 +90,10 @@
 		case !ok && now < p.due && (n.leader != nil || n.mirror.Inventory(state.PoolInventory).VersionOf(id) != 0):
 			n.parked = append(n.parked, p)
 		case ok && n.holders[num] != nil:
-			n.log.Debug("report is handed to its machine's holder", "machine", id, "block", num, "season", p.rep.Season, "tally", p.rep.Tally, "waited", now.Sub(p.since).String())
-			n.holders[num].Report(p.rep, func(a api.ReportAnswer, ok bool) {
+			n.log.Debug("report is handed to its machine's holder", "machine", id, "block", num, "season", p.rep.Session, "tally", p.rep.Sequence, "waited", now.Sub(p.since).String())
+			n.holders[num].HandleReport(p.rep, func(a api.ReportResponse, ok bool) {
 				if ok {
-					p.reply(Answer{Status: 200, Body: a})
+					p.reply(Response{Status: 200, Body: a})
 					return
 				}
 				n.redirect(id, p.reply)
@@ -118,5 +118,5 @@
 	if to == n.cfg.Host {
 		to = ""
 	}
-	reply(Answer{Status: 421, Body: api.Redirect{Steward: string(to)}})
+	reply(Response{Status: 421, Body: api.Redirect{Holder: string(to)}})
 }
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -17,16 +17,16 @@
 
 // Host is the place of a controller; its process comes and goes.
 type Host struct {
-	w    *World
-	name core.Host
-	addr string
-	rate float64 // of its steady clock
-	proc *process
-	Ends int
-	// Previous: its process is of the version before: it keeps the limits it knows, writes
+	w     *World
+	name  core.Host
+	addr  string
+	rate  float64 // of its steady clock
+	proc  *process
+	Kills int
+	// PreviousVersion: its process is of the version before: it keeps the limits it knows, writes
 	// no field and passes over frames that it does not know.
-	Previous bool
-	stall    Clock // nothing runs before
+	PreviousVersion bool
+	stall           SimTime // nothing runs before
 
 	healthy, lastGood bool // to the load balancer
 }
@@ -38,7 +38,7 @@
 // process is one run of a controller; it is the Loop and the Caller of its node.
 type process struct {
 	h       *Host
-	started Clock
+	started SimTime
 	node    *node.Node
 	dead    bool
 	// Calls to workers on their way and requests not yet answered, with the
@@ -54,11 +54,11 @@
 	if h.proc != nil {
 		return
 	}
-	p := &process{h: h, started: h.w.now, previous: h.Previous}
+	p := &process{h: h, started: h.w.now, previous: h.PreviousVersion}
 	h.proc = p
 	cfg := h.w.Cfg
 	if p.previous {
-		cfg.StateLim = h.w.PreviousLim
+		cfg.StateLimits = h.w.PreviousLimits
 	}
 	cfg.Host = h.name
 	for _, o := range h.w.Hosts {
@@ -66,7 +66,7 @@
 			cfg.Peers = append(cfg.Peers, config.Peer{Host: o.name, Addr: o.addr})
 		}
 	}
-	p.maxOpen, p.maxCalls = cfg.Limits.Shares(len(cfg.Peers))
+	p.maxOpen, p.maxCalls = cfg.Limits.ConnectionLimits(len(cfg.Peers))
 	p.node = node.New(&cfg, p, p, p.broadcast, h.w.logger().With("host", h.name), rand.New(rand.NewPCG(h.w.Rand.Uint64(), 1)))
 	p.node.Policy = h.w.Policy
 	p.do(p.node.Start)
@@ -77,14 +77,14 @@
 	if h.proc != nil {
 		h.proc.dead = true
 		h.proc = nil
-		h.Ends++
+		h.Kills++
 	}
 }
 
 // Restart ends the controller and starts it again after a while.
 func (h *Host) Restart(after time.Duration) {
 	h.Kill()
-	h.w.In(after, h.Start)
+	h.w.After(after, h.Start)
 }
 
 // Stall keeps the controller from running for a while: timers fire late, and
@@ -104,10 +104,10 @@
 
 func (p *process) Now() core.Time { return core.Time(float64(p.h.w.now-p.started) * p.h.rate) }
 
-func (p *process) Wall() core.Wall { return Epoch + core.Wall(p.h.w.now.Milliseconds()) }
+func (p *process) WallNow() core.WallTime { return Epoch + core.WallTime(p.h.w.now.Milliseconds()) }
 
 func (p *process) After(d time.Duration, f func()) {
-	p.h.w.In(time.Duration(float64(max(d, 0))/p.h.rate)+time.Millisecond, func() { p.do(f) })
+	p.h.w.After(time.Duration(float64(max(d, 0))/p.h.rate)+time.Millisecond, func() { p.do(f) })
 }
 
 func (p *process) Call(r core.Request, done func(core.Response)) {
@@ -131,7 +131,7 @@
 }
 
 func (p *process) broadcast(frame []byte) {
-	_, beat, _ := peer.Decode(frame)
+	_, beat, _ := peer.DecodeHeartbeat(frame)
 	if p.previous && !beat {
 		return
 	}
@@ -139,7 +139,7 @@
 		if o != p.h && !p.dead {
 			p.h.w.carry(party(p.h.name), party(o.name), func() {
 				if q := o.proc; q != nil && !(q.previous && !beat) {
-					q.do(func() { q.node.Peer(frame) })
+					q.do(func() { q.node.HandleFrame(frame) })
 				}
 			})
 		}
@@ -174,7 +174,7 @@
 // probe asks for the controller's health about once a second, as the load
 // balancer does: twice in a row decides.
 func (h *Host) probe() {
-	h.w.In(time.Second, h.probe)
+	h.w.After(time.Second, h.probe)
 	h.w.exchange("users", core.Request{Addr: h.addr, Method: "GET", Path: "/ready", Timeout: time.Second}, func(res core.Response) {
 		good := res.Status == 200
 		if good == h.lastGood {
@@ -200,7 +200,7 @@
 	p.open++
 	p.mostOpen = max(p.mostOpen, p.open)
 	p.do(func() {
-		answer := func(a node.Answer) {
+		answer := func(a node.Response) {
 			p.open--
 			if p.dead {
 				return
@@ -216,13 +216,13 @@
 		case r.Path == "/ready":
 			p.node.Ready(answer)
 		case r.Path == "/hello":
-			p.node.Report(r.Body, answer)
+			p.node.HandleReport(r.Body, answer)
 		case r.Path == "/work":
 			p.node.Submit(r.Body, answer)
 		case cancel:
 			p.node.Cancel(core.JobID(id), answer)
 		default:
-			p.node.Get(core.JobID(id), answer)
+			p.node.GetJob(core.JobID(id), answer)
 		}
 	})
 }
--- a/internal/sim/tasks.go
+++ b/internal/sim/tasks.go
@@ -42,7 +42,7 @@
 	if t.state == api.TaskExited {
 		return
 	}
-	m.w.Check.Off(t.id, m.ID)
+	m.w.Checker.TaskRemoved(t.id, m.ID)
 	if g := t.gang; g != nil && g.members[t.id.Index] == t {
 		delete(g.members, t.id.Index)
 		if g.running && !g.over {
@@ -54,7 +54,7 @@
 // breakGang lets the tasks of a gang notice that one of them is gone or hangs.
 func (m *Machine) breakGang(g *gang) {
 	g.over = true
-	for _, i := range core.Keys(g.members) {
+	for _, i := range core.SortedKeys(g.members) {
 		o := g.members[i]
 		o.m.in(time.Duration(m.w.between(0.2, 1)*float64(m.w.Cfg.Workers.GangPeer)), func() { o.m.exit(o, api.CausePeers) })
 	}
@@ -83,19 +83,19 @@
 	t.state, t.cause = api.TaskExited, cause
 	if cause == api.CauseDone {
 		m.w.done[t.id] = true
-		m.w.Check.Completed(t.id)
-		if m.w.CancelAtEnd > 0 && len(m.w.Check.jobs[string(t.id.Job)].done) == t.job.Tasks && m.w.chance(m.w.CancelAtEnd) {
+		m.w.Checker.TaskCompleted(t.id)
+		if m.w.CancelAtEndProb > 0 && len(m.w.Checker.jobs[string(t.id.Job)].done) == t.job.Tasks && m.w.chance(m.w.CancelAtEndProb) {
 			m.w.Users.Cancel(string(t.id.Job))
 		}
 	}
 	m.report(500 * time.Millisecond)
 }
 
-func (m *Machine) execute(orders []api.Order) {
+func (m *Machine) execute(orders []api.Command) {
 	for _, o := range orders {
-		id, err := core.ParseTask(o.Task)
+		id, err := core.ParseTaskID(o.Task)
 		if err != nil {
-			m.w.Check.fail("order for %q", o.Task)
+			m.w.Checker.fail("order for %q", o.Task)
 			return
 		}
 		k := taskKey{id, o.Attempt}
@@ -114,7 +114,7 @@
 				m.in(core.Seconds(t.job.SaveS), func() { m.exit(t, api.CauseHalted) })
 			} else {
 				if o.GraceS == nil || *o.GraceS == 0 {
-					m.w.Check.Stopped(t.id)
+					m.w.Checker.TaskStopped(t.id)
 				}
 				m.exit(t, api.CauseHalted)
 			}
@@ -123,7 +123,7 @@
 				delete(m.tasks, k)
 			}
 		default:
-			m.w.Check.fail("unknown order %q", o.Verb)
+			m.w.Checker.fail("unknown order %q", o.Verb)
 		}
 	}
 }
@@ -134,14 +134,14 @@
 }
 
 // free is what no task uses.
-func (m *Machine) free() placement.Need {
-	used := placement.Need{}
+func (m *Machine) free() placement.Resources {
+	used := placement.Resources{}
 	for _, o := range m.tasks {
 		if o.state != api.TaskExited {
-			used = used.Plus(placement.Need{CPUs: o.job.CPUs, GPUs: o.job.GPUs, MemoryGB: o.job.MemoryGB})
+			used = used.Add(placement.Resources{CPUs: o.job.CPUs, GPUs: o.job.GPUs, MemoryGB: o.job.MemoryGB})
 		}
 	}
-	return placement.Need{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}.Minus(used)
+	return placement.Resources{CPUs: m.typ.CPUs, GPUs: m.typ.GPUs, MemoryGB: m.typ.MemoryGB}.Sub(used)
 }
 
 func (m *Machine) start(k taskKey) {
@@ -160,13 +160,13 @@
 			return
 		}
 	}
-	need := placement.Need{CPUs: t.job.CPUs, GPUs: t.job.GPUs, MemoryGB: t.job.MemoryGB}
+	need := placement.Resources{CPUs: t.job.CPUs, GPUs: t.job.GPUs, MemoryGB: t.job.MemoryGB}
 	if !need.Fits(m.free()) {
 		t.cause = api.CauseNoRoom
 		return
 	}
 	t.state = api.TaskFetching
-	m.w.Check.On(k.id, Place{m.ID, m.typ.Name, m.zone, m.spot})
+	m.w.Checker.TaskPlaced(k.id, MachineInfo{m.ID, m.typ.Name, m.zone, m.spot})
 	fetch := time.Duration(0)
 	if !m.images[t.job.Image] {
 		fetch = core.Seconds(t.job.ImageGB / m.typ.FetchGBPerS)
@@ -208,7 +208,7 @@
 	}
 	g.running = true
 	d := core.Seconds(t.job.EstimateS * m.w.between(0.5, 1.5))
-	for _, i := range core.Keys(g.members) {
+	for _, i := range core.SortedKeys(g.members) {
 		g.members[i].state = api.TaskRunning
 		g.members[i].m.report(500 * time.Millisecond)
 	}
@@ -217,23 +217,23 @@
 		if g.over {
 			return
 		}
-		for _, i := range core.Keys(g.members) {
+		for _, i := range core.SortedKeys(g.members) {
 			o := g.members[i]
 			if o.state != api.TaskRunning || o.m.phase != machineUp {
 				return
 			}
 			if m.w.now < o.m.hung {
-				m.w.In(time.Second, complete) // it stood still for a moment; the gang goes on
+				m.w.After(time.Second, complete) // it stood still for a moment; the gang goes on
 				return
 			}
 		}
 		g.over = true
-		for _, i := range core.Keys(g.members) {
+		for _, i := range core.SortedKeys(g.members) {
 			o := g.members[i]
 			o.m.exit(o, api.CauseDone)
 		}
 	}
-	m.w.In(d, complete)
+	m.w.After(d, complete)
 }
 
 func (m *Machine) run(t *task) {
