--- a/internal/capacity/boots_test.go
+++ b/internal/capacity/boots_test.go
@@ -48,7 +48,7 @@
 	}
 	var b BootTimes
 	var waiting []PendingMachine
-	for range maxDoubtful {
+	for range maxOverdueBoots {
 		waiting = append(waiting, PendingMachine{Offer{"small", "a", false}, 200 * time.Second})
 	}
 	usual := func(string) time.Duration { return 30 * time.Second }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -84,76 +84,78 @@
 	Demand Demand
 }
 
-type room struct {
-	m     *Machine
-	free  placement.Resources
-	block int // for whom it is claimed
-	used  bool
-	tasks int
-	gang  float64 // CPUs claimed by gangs
-	kept  bool    // of a kind that is kept for gangs
+type machineClaims struct {
+	machine      *Machine
+	free         placement.Resources
+	block        int // for whom it is claimed
+	claimed      bool
+	tasks        int
+	gangCPUs     float64 // CPUs claimed by gangs
+	gangReserved bool    // of a kind that is kept for gangs
 }
 
-// cpus is what a machine has for arrays. Large machines that gangs are to take are
+// arrayCPUs is what a machine has for arrays. Large machines that gangs are to take are
 // no room for what may arrive: counted as such, they made up the whole level that
 // is kept ready, and small ones went back just before the next burst.
-func (p *planner) cpus(r *room) float64 { return p.in.Types[r.m.Type].CPUs - r.gang }
+func (p *planner) arrayCPUs(r *machineClaims) float64 {
+	return p.input.Types[r.machine.Type].CPUs - r.gangCPUs
+}
 
 type planner struct {
-	in    Input
-	rooms []*room
-	plan  Plan
-	team  map[string]float64
-	// ordinary counts the CPUs of ordinary machines to be rented for work that
+	input       Input
+	machines    []*machineClaims
+	plan        Plan
+	claimedCPUs map[string]float64
+	// onDemandCPUs counts the CPUs of onDemandCPUs machines to be rented for work that
 	// may use spot machines.
-	ordinary float64
+	onDemandCPUs float64
 }
 
 // MakePlan makes a plan: the unfinished jobs, oldest first, claim room on the
 // machines; what is left over or missing decides.
 func MakePlan(in Input) Plan {
-	p := &planner{in: in, plan: Plan{Assign: map[core.MachineID]int{}}, team: map[string]float64{}, rooms: roomsOf(in)}
-	expected := only(inOrder(in.Jobs), func(j *Job) bool { return j.ReadySoon })
-	ready := only(inOrder(in.Jobs), func(j *Job) bool { return !j.ReadySoon })
-	open := p.shareAll(ready)
-	p.plan.Demand.MissingCPUs = p.missing(only(in.Jobs, func(j *Job) bool { return !j.ReadySoon }))
-	for _, u := range open {
+	p := &planner{input: in, plan: Plan{Assign: map[core.MachineID]int{}}, claimedCPUs: map[string]float64{}, machines: claimableMachines(in)}
+	readySoon := filter(sortForClaims(in.Jobs), func(j *Job) bool { return j.ReadySoon })
+	ready := filter(sortForClaims(in.Jobs), func(j *Job) bool { return !j.ReadySoon })
+	unmet := p.claimAll(ready)
+	p.plan.Demand.MissingCPUs = p.missingCPUs(filter(in.Jobs, func(j *Job) bool { return !j.ReadySoon }))
+	for _, u := range unmet {
 		// Nothing is rented for a job that fails wherever it runs.
-		if u.n > 0 && !u.j.Failing {
-			p.rent(u.j, u.n)
+		if u.count > 0 && !u.job.Failing {
+			p.rent(u.job, u.count)
 		}
 	}
-	p.expect(expected)
-	p.move()
-	p.giveBack()
+	p.claimForReadySoon(readySoon)
+	p.moveMachines()
+	p.returnIdle()
 	return p.plan
 }
 
-// roomsOf lists the machines that can be claimed, the smallest first; of those that are
+// claimableMachines lists the machines that can be claimed, the smallest first; of those that are
 // alike, the ones that are up. One that still boots must not be given to a gang while one
 // that is up stands idle.
-func roomsOf(in Input) (rooms []*room) {
+func claimableMachines(in Input) (rooms []*machineClaims) {
 	for _, m := range in.Machines {
 		t, ok := in.Types[m.Type]
 		if !ok || m.BootOverdue {
 			continue
 		}
-		rooms = append(rooms, &room{m: m, free: placement.CapacityOf(t), block: m.Block, kept: in.GangKinds.Has(MachineKind{m.Type, m.Spot})})
+		rooms = append(rooms, &machineClaims{machine: m, free: placement.CapacityOf(t), block: m.Block, gangReserved: in.GangKinds.Has(MachineKind{m.Type, m.Spot})})
 	}
 	sort.SliceStable(rooms, func(a, b int) bool {
 		x, y := rooms[a], rooms[b]
 		if x.free.CPUs != y.free.CPUs {
 			return x.free.CPUs < y.free.CPUs
 		}
-		return x.m.Ready && !y.m.Ready
+		return x.machine.Ready && !y.machine.Ready
 	})
 	return rooms
 }
 
-// inOrder sorts jobs in the order in which they claim: gangs first, then by rank, those with
+// sortForClaims sorts jobs in the order in which they claim: gangs first, then by rank, those with
 // a time, and age.
-func inOrder(in []*Job) []*Job {
-	jobs := slices.Clone(in)
+func sortForClaims(unsorted []*Job) []*Job {
+	jobs := slices.Clone(unsorted)
 	sort.SliceStable(jobs, func(a, b int) bool {
 		x, y := jobs[a], jobs[b]
 		switch {
@@ -171,30 +173,30 @@
 	return jobs
 }
 
-// shareAll lets the jobs that may run claim room, and lists what found none: what has not
+// claimAll lets the jobs that may run claim room, and lists what found none: what has not
 // begun for too long, gangs, arrays by rank, and idle-time work. That has what is left over,
 // also in its own block: what it used there was no room for others, and they waited until it
 // ended by itself.
-func (p *planner) shareAll(jobs []*Job) []unmet {
-	begin := first(jobs)
-	jobs = alike(jobs)
-	open := p.share(begin)
-	open = append(open, p.share(only(jobs, func(j *Job) bool { return !j.Opportunistic() && j.Gang }))...)
+func (p *planner) claimAll(jobs []*Job) []unmetTasks {
+	starts := overdueStarts(jobs)
+	jobs = mergeSimilar(jobs)
+	unmet := p.claimForJobs(starts)
+	unmet = append(unmet, p.claimForJobs(filter(jobs, func(j *Job) bool { return !j.Opportunistic() && j.Gang }))...)
 	for rank := placement.TopRank; rank >= 0; rank-- {
-		p.hold(only(jobs, func(j *Job) bool { return j.Opportunistic() && !j.Gang && j.Rank == rank }))
-		open = append(open, p.share(only(jobs, func(j *Job) bool { return !j.Opportunistic() && !j.Gang && j.Rank == rank }))...)
+		p.claimForRunning(filter(jobs, func(j *Job) bool { return j.Opportunistic() && !j.Gang && j.Rank == rank }))
+		unmet = append(unmet, p.claimForJobs(filter(jobs, func(j *Job) bool { return !j.Opportunistic() && !j.Gang && j.Rank == rank }))...)
 	}
-	return append(open, p.share(only(jobs, func(j *Job) bool { return j.Opportunistic() }))...)
+	return append(unmet, p.claimForJobs(filter(jobs, func(j *Job) bool { return j.Opportunistic() }))...)
 }
 
-// move assigns claimed machines of the pool, and asks those back that another block claims.
-func (p *planner) move() {
-	for _, r := range p.rooms {
+// moveMachines assigns claimed machines of the pool, and asks those back that another block claims.
+func (p *planner) moveMachines() {
+	for _, r := range p.machines {
 		switch {
-		case r.m.Block == NoBlock && r.used && r.block != NoBlock:
-			p.plan.Assign[r.m.ID] = r.block
-		case r.m.Block != NoBlock && r.used && r.block != r.m.Block && !r.m.Draining:
-			p.plan.Drain = append(p.plan.Drain, r.m.ID)
+		case r.machine.Block == NoBlock && r.claimed && r.block != NoBlock:
+			p.plan.Assign[r.machine.ID] = r.block
+		case r.machine.Block != NoBlock && r.claimed && r.block != r.machine.Block && !r.machine.Draining:
+			p.plan.Drain = append(p.plan.Drain, r.machine.ID)
 		}
 	}
 }
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -162,14 +162,14 @@
 		j.ID, j.Team, j.Tasks, j.Spot, j.TimeSensitive, j.ReadyAt, j.Need, j.Estimate = core.JobID(fmt.Sprint("req-", 100+i)), "red", 1, true, true, core.WallTime(i), placement.Resources{CPUs: 0.5, MemoryGB: 1}, time.Minute
 		jobs = append(jobs, j)
 	}
-	if n := len(alike(jobs)); n != 1 {
+	if n := len(mergeSimilar(jobs)); n != 1 {
 		t.Fatalf("%d kinds", n)
 	}
 	if p := plan(jobs, nil); len(p.Rent) != 1 || p.Rent[0].Count != 4 {
 		t.Fatalf("%+v for 25 CPUs on machines of 8", p.Rent)
 	}
 	jobs[30].Remaining = 2 // has a deadline and more than one task: counts by itself
-	if n := len(alike(jobs)); n != 3 {
+	if n := len(mergeSimilar(jobs)); n != 3 {
 		t.Fatalf("%d kinds", n)
 	}
 }
--- a/internal/capacity/late.go
+++ b/internal/capacity/late.go
@@ -12,18 +12,18 @@
 )
 
 const (
-	// lateFor bounds how long a job is deferred for being late: work must not
+	// maxDeferral bounds how long a job is deferred for being late: work must not
 	// wait for ever because it could not be in time.
-	lateFor = 15 * time.Minute
-	// beginBy is how long a job may have waited without a task started before it
+	maxDeferral = 15 * time.Minute
+	// maxStartWait is how long a job may have waited without a task started before it
 	// goes first: nobody's work should seem forgotten because others hurry. Users
 	// expect the beginning within four minutes; what is left is for the drain.
-	beginBy = 150 * time.Second
+	maxStartWait = 150 * time.Second
 )
 
 // Overdue tells whether a job has waited too long without having begun.
-func Overdue(at, now core.WallTime, begun bool) bool {
-	return !begun && time.Duration(now-at)*time.Millisecond > beginBy
+func Overdue(readyAt, now core.WallTime, begun bool) bool {
+	return !begun && time.Duration(now-readyAt)*time.Millisecond > maxStartWait
 }
 
 const (
@@ -52,12 +52,12 @@
 // one, else those on the time that jobs of its class may take. A deadline counts from
 // sent, when the job was submitted, all else from at, since when it may run. needed is by
 // when jobs that depend on it want it done (0: any time).
-func DueTimes(aims []config.Objective, spec *api.Job, sent, at, needed core.WallTime) (due []core.WallTime) {
+func DueTimes(objectives []config.Objective, spec *api.Job, submittedAt, readyAt, neededBy core.WallTime) (due []core.WallTime) {
 	if spec.Form == api.FormGang {
 		return nil
 	}
 	deadlines, within := []float64{}, []float64{}
-	for _, a := range aims {
+	for _, a := range objectives {
 		switch {
 		case a.Class != spec.Class:
 		case a.Kind == "deadline" && spec.DeadlineS != nil:
@@ -70,13 +70,13 @@
 		deadlines = append(deadlines, *spec.DeadlineS)
 	}
 	for _, s := range deadlines {
-		due = append(due, sent+core.WallTime(s*1000))
+		due = append(due, submittedAt+core.WallTime(s*1000))
 	}
 	for _, s := range within {
-		due = append(due, at+core.WallTime(s*1000))
+		due = append(due, readyAt+core.WallTime(s*1000))
 	}
-	if needed > 0 {
-		due = append(due, needed)
+	if neededBy > 0 {
+		due = append(due, neededBy)
 	}
 	slices.Sort(due)
 	return due
@@ -84,8 +84,8 @@
 
 // TimeSensitive tells whether users have stated by when a job should begin or be complete:
 // by an aim on its class, or by its deadline.
-func TimeSensitive(aims []config.Objective, spec *api.Job) bool {
-	return spec.DeadlineS != nil || slices.ContainsFunc(aims, func(a config.Objective) bool {
+func TimeSensitive(objectives []config.Objective, spec *api.Job) bool {
+	return spec.DeadlineS != nil || slices.ContainsFunc(objectives, func(a config.Objective) bool {
 		return a.Class == spec.Class && (a.Kind == "wait" || a.Kind == "finished")
 	})
 }
@@ -93,9 +93,9 @@
 // MissesObjectives tells whether a waiting job can no longer meet any of the aims that its
 // users stated for its class, nor its own deadline. Such a job yields to those
 // that can still be in time.
-func MissesObjectives(aims []config.Objective, spec *api.Job, sent, at, now core.WallTime) bool {
-	age := time.Duration(now-at) * time.Millisecond
-	if age > lateFor {
+func MissesObjectives(objectives []config.Objective, spec *api.Job, submittedAt, readyAt, now core.WallTime) bool {
+	age := time.Duration(now-readyAt) * time.Millisecond
+	if age > maxDeferral {
 		return false
 	}
 	estimate := core.Seconds(spec.EstimateS)
@@ -106,17 +106,17 @@
 	}
 	if spec.DeadlineS != nil {
 		deadline := core.Seconds(*spec.DeadlineS)
-		times := 1.0
-		for _, a := range aims {
+		factor := 1.0
+		for _, a := range objectives {
 			if a.Kind == "deadline" && a.Class == spec.Class {
-				times = max(times, a.DeadlineFactor)
+				factor = max(factor, a.DeadlineFactor)
 			}
 		}
-		if !check(time.Duration(float64(deadline)*times) - time.Duration(now-sent)*time.Millisecond - estimate) {
+		if !check(time.Duration(float64(deadline)*factor) - time.Duration(now-submittedAt)*time.Millisecond - estimate) {
 			return false
 		}
 	}
-	for _, a := range aims {
+	for _, a := range objectives {
 		if a.Class != spec.Class {
 			continue
 		}
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -9,71 +9,71 @@
 	"lichenstair/internal/placement"
 )
 
-// giveBack returns machines that have been free for a while, the dearest first,
+// returnIdle returns machines that have been free for a while, the dearest first,
 // as long as enough stays.
-func (p *planner) giveBack() {
-	have := struct{ Kept, CPUs float64 }{}
-	var idle []*room
-	cost := func(r *room) float64 {
-		t := p.in.Types[r.m.Type]
-		if r.m.Spot {
+func (p *planner) returnIdle() {
+	available := struct{ Kept, CPUs float64 }{}
+	var idle []*machineClaims
+	cost := func(r *machineClaims) float64 {
+		t := p.input.Types[r.machine.Type]
+		if r.machine.Spot {
 			return t.SpotPrice / t.CPUs
 		}
 		return t.Price / t.CPUs
 	}
-	for _, r := range p.rooms {
-		if r.kept {
-			have.Kept++
-			if r.used {
+	for _, r := range p.machines {
+		if r.gangReserved {
+			available.Kept++
+			if r.claimed {
 				p.plan.Demand.GangMachines++
 			}
 		} else {
-			have.CPUs += p.cpus(r)
+			available.CPUs += p.arrayCPUs(r)
 		}
-		if r.m.Block == NoBlock && !r.used && r.m.FreeFor >= p.in.IdleTimeout {
+		if r.machine.Block == NoBlock && !r.claimed && r.machine.FreeFor >= p.input.IdleTimeout {
 			idle = append(idle, r)
 		}
 	}
 	sort.SliceStable(idle, func(a, b int) bool { return cost(idle[a]) > cost(idle[b]) })
 	for _, r := range idle {
-		if p.in.GangKinds.Has(MachineKind{r.m.Type, r.m.Spot}) {
-			if have.Kept-1 < p.plan.Demand.GangMachines+p.spare(r.m.Type) {
+		if p.input.GangKinds.Has(MachineKind{r.machine.Type, r.machine.Spot}) {
+			if available.Kept-1 < p.plan.Demand.GangMachines+p.gangStandby(r.machine.Type) {
 				continue
 			}
-			have.Kept--
+			available.Kept--
 		} else {
-			cpus := p.in.Types[r.m.Type].CPUs
+			cpus := p.input.Types[r.machine.Type].CPUs
 			// A level fades but never quite ends: half a machine counts as none.
-			if r.m.Spot && have.CPUs-cpus < p.in.Forecast.SpotCPUs-cpus/2 {
+			if r.machine.Spot && available.CPUs-cpus < p.input.Forecast.SpotCPUs-cpus/2 {
 				continue
 			}
-			have.CPUs -= cpus
+			available.CPUs -= cpus
 		}
-		p.plan.Return = append(p.plan.Return, r.m.ID)
+		p.plan.Return = append(p.plan.Return, r.machine.ID)
 	}
-	p.rentAhead(have.CPUs)
-	p.rentSpare(have.Kept)
+	p.rentSpotStandby(available.CPUs)
+	p.rentGangStandby(available.Kept)
 }
 
-// spare is how many kept machines of a type should be ready beyond those that
+// gangStandby is how many kept machines of a type should be ready beyond those that
 // are wanted now: as many as arriving gangs probably want while one boots.
-func (p *planner) spare(typ string) float64 {
-	return math.Round(p.in.Forecast.GangRate * (1.2*p.in.Types[typ].BootS + 3))
+func (p *planner) gangStandby(typ string) float64 {
+	return math.Round(p.input.Forecast.GangRate * (1.2*p.input.Types[typ].BootS + 3))
 }
 
-// rentSpare rents kept machines, the cheapest, so that enough are ready.
-func (p *planner) rentSpare(have float64) {
+// rentGangStandby rents kept machines, the cheapest, so that enough are ready.
+func (p *planner) rentGangStandby(available float64) {
 	var best Offer
 	cost := math.Inf(1)
-	for kind := range p.in.GangKinds {
-		t := p.in.Types[kind.Type]
+	for kind := range p.input.GangKinds {
+		t := p.input.Types[kind.Type]
 		price := t.Price
 		if kind.Spot {
 			price = t.SpotPrice
 		}
 		for _, zone := range t.Zones {
 			o := Offer{kind.Type, zone, kind.Spot}
-			if p.in.UnavailableOffers[o] || p.plan.Demand.GangMachines+p.spare(kind.Type) <= have {
+			if p.input.UnavailableOffers[o] || p.plan.Demand.GangMachines+p.gangStandby(kind.Type) <= available {
 				continue
 			}
 			if price < cost-1e-9 || price < cost+1e-9 && kind.Type+zone < best.Type+best.Zone {
@@ -82,20 +82,20 @@
 		}
 	}
 	if best.Type != "" {
-		p.plan.Rent = append(p.plan.Rent, Rental{best, NoBlock, int(min(p.plan.Demand.GangMachines+p.spare(best.Type)-have, 5))})
+		p.plan.Rent = append(p.plan.Rent, Rental{best, NoBlock, int(min(p.plan.Demand.GangMachines+p.gangStandby(best.Type)-available, 5))})
 	}
 }
 
-// rentAhead rents spot machines, the cheapest by CPU, up to the level that is
+// rentSpotStandby rents spot machines, the cheapest by CPU, up to the level that is
 // to be kept ready.
-func (p *planner) rentAhead(have float64) {
+func (p *planner) rentSpotStandby(available float64) {
 	var best Offer
 	cost := math.Inf(1)
-	for _, name := range core.SortedKeys(p.in.Types) {
-		t := p.in.Types[name]
+	for _, name := range core.SortedKeys(p.input.Types) {
+		t := p.input.Types[name]
 		for _, zone := range t.Zones {
 			o := Offer{name, zone, true}
-			if c := t.SpotPrice / t.CPUs; c < cost-1e-9 && !p.in.UnavailableOffers[o] && !p.in.GangKinds.Has(MachineKind{name, true}) && have+t.CPUs/2 < p.in.Forecast.SpotCPUs {
+			if c := t.SpotPrice / t.CPUs; c < cost-1e-9 && !p.input.UnavailableOffers[o] && !p.input.GangKinds.Has(MachineKind{name, true}) && available+t.CPUs/2 < p.input.Forecast.SpotCPUs {
 				best, cost = o, c
 			}
 		}
@@ -103,48 +103,48 @@
 	if best.Type == "" || len(p.plan.Rent) > 0 {
 		return
 	}
-	n := int(math.Ceil((p.in.Forecast.SpotCPUs - have) / p.in.Types[best.Type].CPUs))
+	n := int(math.Ceil((p.input.Forecast.SpotCPUs - available) / p.input.Types[best.Type].CPUs))
 	p.plan.Rent = append(p.plan.Rent, Rental{best, NoBlock, min(n, 10)})
 }
 
-// scarce is how many times more than what is there must be wanted before
+// scarcityFactor is how many times more than what is there must be wanted before
 // ordinary machines are rented freely for work that may use spot machines.
-const scarce = 3
+const scarcityFactor = 3
 
-// idleShare is the part of work without a time for which ordinary machines may be
+// opportunisticShare is the part of work without a time for which ordinary machines may be
 // rented, one over this.
-const idleShare = 8
+const opportunisticShare = 8
 
-// worthwhile tells how many CPUs of ordinary machines may be rented for a job.
+// onDemandBudget tells how many CPUs of ordinary machines may be rented for a job.
 // For work that may use spot machines they cost about three times as much, and
 // what waits for those mostly is done before one has booted: unless hardly
 // anything is there, they are rented only as far as CPUs have been missing for a
 // while to be in time. Work within a guarantee gets what it needs: users count on it at
 // once, and steps of pipelines waited for spot machines that nobody had left.
-func (p *planner) worthwhile(j *Job) float64 {
+func (p *planner) onDemandBudget(j *Job) float64 {
 	if j.Gang || !j.Spot || j.Guaranteed {
 		return math.Inf(1)
 	}
-	have := 0.0
-	for _, r := range p.rooms {
-		if (!r.kept || j.GangMachinesOnly) && j.Allows(r.m.Type, r.m.Zone, r.m.Spot) {
-			have += p.cpus(r)
+	available := 0.0
+	for _, r := range p.machines {
+		if (!r.gangReserved || j.GangMachinesOnly) && j.Allows(r.machine.Type, r.machine.Zone, r.machine.Spot) {
+			available += p.arrayCPUs(r)
 		}
 	}
 	if !j.TimeSensitive {
 		// Nobody waits for it: it takes what is idle and what is cheap. Only where
 		// that is next to nothing it gets a little of its own, so that it is served.
-		return float64(j.Remaining)*j.Need.CPUs/idleShare - have - p.ordinary
+		return float64(j.Remaining)*j.Need.CPUs/opportunisticShare - available - p.onDemandCPUs
 	}
-	if p.plan.Demand.SpotCPUs > scarce*have {
+	if p.plan.Demand.SpotCPUs > scarcityFactor*available {
 		return math.Inf(1)
 	}
-	return p.in.Forecast.MissingCPUs - p.ordinary
+	return p.input.Forecast.MissingCPUs - p.onDemandCPUs
 }
 
-// missing estimates how many CPUs more would bring arrays in time that cannot be
+// missingCPUs estimates how many CPUs more would bring arrays in time that cannot be
 // with what is there, though their teams' limits would let them.
-func (p *planner) missing(jobs []*Job) (cpus float64) {
+func (p *planner) missingCPUs(jobs []*Job) (cpus float64) {
 	byTeam := map[string][]*placement.Job{}
 	for _, j := range jobs {
 		if !j.Gang && j.Spot && j.Deadline > 0 && j.Remaining > 0 && !j.Failing {
@@ -153,33 +153,33 @@
 			byTeam[j.Team] = append(byTeam[j.Team], &j.Job)
 		}
 	}
-	var possible []*placement.Job
+	var feasible []*placement.Job
 	for _, team := range core.SortedKeys(byTeam) {
-		placement.Defer(p.in.Now, p.in.TeamQuota[team], 0, byTeam[team])
+		placement.Defer(p.input.Now, p.input.TeamQuota[team], 0, byTeam[team])
 		for _, j := range byTeam[team] {
 			if j.MissedDueTimes == 0 {
-				possible = append(possible, j)
+				feasible = append(feasible, j)
 			}
 		}
 	}
-	have := 0.0
-	for _, r := range p.rooms {
-		if !r.kept {
-			have += p.cpus(r)
+	available := 0.0
+	for _, r := range p.machines {
+		if !r.gangReserved {
+			available += p.arrayCPUs(r)
 		}
 	}
 	for _, j := range jobs {
 		// What runs for nobody in particular, for minutes, is no room for those who
 		// have a time: an array stated to be done in 400 s waited 280 behind it.
 		if j.Opportunistic() && !j.Gang {
-			have -= float64(j.Running) * j.Need.CPUs
+			available -= float64(j.Running) * j.Need.CPUs
 		}
 	}
 	for rank := placement.TopRank; rank >= 0; rank-- {
-		line := slices.DeleteFunc(slices.Clone(possible), func(j *placement.Job) bool { return j.Rank != rank })
-		placement.Defer(p.in.Now, max(have, 0), 0, line)
-		for _, j := range line {
-			left := float64(j.Timing.Due[0]-p.in.Now) / 1000
+		queue := slices.DeleteFunc(slices.Clone(feasible), func(j *placement.Job) bool { return j.Rank != rank })
+		placement.Defer(p.input.Now, max(available, 0), 0, queue)
+		for _, j := range queue {
+			left := float64(j.Timing.Due[0]-p.input.Now) / 1000
 			switch {
 			case left <= 0:
 			case j.MissedDueTimes > 0:
@@ -187,54 +187,54 @@
 			default:
 				// What those of a higher rank take is not there for others, however
 				// much time all of them have.
-				have -= min(j.Timing.Work/left/pace, float64(j.Tasks)*j.Need.CPUs)
+				available -= min(j.Timing.Work/left/usableTimeShare, float64(j.Tasks)*j.Need.CPUs)
 			}
 		}
 	}
 	return cpus
 }
 
-// choice is a kind of machine that could be rented for a job.
-type choice struct {
-	offer Offer
-	fit   int     // tasks that a machine takes
-	cost  float64 // of a task, an hour
+// rentalOption is a kind of machine that could be rented for a job.
+type rentalOption struct {
+	offer           Offer
+	tasksPerMachine int     // tasks that a machine takes
+	costPerTask     float64 // of a task, an hour
 }
 
-// better tells whether a choice is cheaper than another; of equal ones the first by name is.
-func (c choice) better(than choice) bool {
+// cheaperThan tells whether a choice is cheaper than another; of equal ones the first by name is.
+func (c rentalOption) cheaperThan(than rentalOption) bool {
 	const same = 1e-9
-	if c.cost < than.cost-same {
+	if c.costPerTask < than.costPerTask-same {
 		return true
 	}
-	return c.cost < than.cost+same && c.offer.Type+c.offer.Zone < than.offer.Type+than.offer.Zone
+	return c.costPerTask < than.costPerTask+same && c.offer.Type+c.offer.Zone < than.offer.Type+than.offer.Zone
 }
 
 // rent adds the cheapest machines that take n tasks of a job, and claims them. What has to
 // be spread goes to as many zones as it takes.
 func (p *planner) rent(j *Job, n int) {
-	ordinary := p.worthwhile(j)
-	best, ok := p.cheapest(j, n, ordinary)
+	onDemand := p.onDemandBudget(j)
+	best, ok := p.cheapest(j, n, onDemand)
 	if !ok {
 		return
 	}
-	t := p.in.Types[best.offer.Type]
-	count := min((n+best.fit-1)/best.fit, maxRental)
+	t := p.input.Types[best.offer.Type]
+	count := min((n+best.tasksPerMachine-1)/best.tasksPerMachine, maxRental)
 	if !best.offer.Spot && !j.Gang && j.Spot && !j.Guaranteed {
-		count = int(min(float64(count), ordinary/t.CPUs))
-		p.ordinary += float64(count) * t.CPUs
+		count = int(min(float64(count), onDemand/t.CPUs))
+		p.onDemandCPUs += float64(count) * t.CPUs
 	}
 	if j.SpreadZones {
 		count = min(count, (j.Tasks+1)/2)
 	}
 	for i := range count {
-		p.rooms = append(p.rooms, &room{
-			m:    &Machine{ID: core.MachineID("rented" + string(rune('0'+i))), Type: best.offer.Type, Zone: best.offer.Zone, Spot: best.offer.Spot, Block: j.Block},
-			free: placement.CapacityOf(t), block: j.Block, kept: p.in.GangKinds.Has(MachineKind{best.offer.Type, best.offer.Spot}),
+		p.machines = append(p.machines, &machineClaims{
+			machine: &Machine{ID: core.MachineID("rented" + string(rune('0'+i))), Type: best.offer.Type, Zone: best.offer.Zone, Spot: best.offer.Spot, Block: j.Block},
+			free:    placement.CapacityOf(t), block: j.Block, gangReserved: p.input.GangKinds.Has(MachineKind{best.offer.Type, best.offer.Spot}),
 		})
 	}
 	p.addRental(Rental{best.offer, j.Block, count})
-	left := n - p.claim(j, n, func(r *room) bool { return r.block == j.Block })
+	left := n - p.claim(j, n, func(r *machineClaims) bool { return r.block == j.Block })
 	if j.SpreadZones && left > 0 && left < n {
 		p.rent(j, left) // the rest has to go to another zone
 	}
@@ -246,25 +246,25 @@
 
 // cheapest finds the kind of machine that takes up to n tasks of a job at the least cost;
 // ordinary is how many CPUs of ordinary machines may be rented for it.
-func (p *planner) cheapest(j *Job, n int, ordinary float64) (best choice, found bool) {
-	for _, name := range core.SortedKeys(p.in.Types) {
-		t := p.in.Types[name]
-		fit := fitting(j.Need, placement.CapacityOf(t), min(n, placement.MaxTasks))
+func (p *planner) cheapest(j *Job, n int, onDemand float64) (best rentalOption, found bool) {
+	for _, name := range core.SortedKeys(p.input.Types) {
+		t := p.input.Types[name]
+		fit := tasksThatFit(j.Need, placement.CapacityOf(t), min(n, placement.MaxTasks))
 		if fit == 0 {
 			continue
 		}
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				offer := Offer{name, zone, spot}
-				if !spot && ordinary < t.CPUs || !p.rentable(j, offer) {
+				if !spot && onDemand < t.CPUs || !p.rentable(j, offer) {
 					continue
 				}
 				price := t.Price
 				if spot {
 					price = t.SpotPrice
 				}
-				c := choice{offer, fit, price / float64(fit)}
-				if !found || c.better(best) {
+				c := rentalOption{offer, fit, price / float64(fit)}
+				if !found || c.cheaperThan(best) {
 					best, found = c, true
 				}
 			}
@@ -273,8 +273,8 @@
 	return best, found
 }
 
-// fitting is how many tasks of a need a room takes, most at the most.
-func fitting(need, room placement.Resources, most int) (n int) {
+// tasksThatFit is how many tasks of a need a room takes, most at the most.
+func tasksThatFit(need, room placement.Resources, most int) (n int) {
 	for n < most && need.Fits(room) {
 		room = room.Sub(need)
 		n++
@@ -284,7 +284,7 @@
 
 // rentable tells whether machines of a kind can be had and suit a job.
 func (p *planner) rentable(j *Job, o Offer) bool {
-	return !p.in.UnavailableOffers[o] && !p.keeps(j, o.Type, o.Spot) && j.Allows(o.Type, o.Zone, o.Spot) && j.AllowsZone(o.Zone, j.TasksByZone)
+	return !p.input.UnavailableOffers[o] && !p.reservedFrom(j, o.Type, o.Spot) && j.Allows(o.Type, o.Zone, o.Spot) && j.AllowsZone(o.Zone, j.TasksByZone)
 }
 
 // addRental adds machines to a rental of the same kind for the same block, if there is one.
--- a/internal/capacity/shapes.go
+++ b/internal/capacity/shapes.go
@@ -19,18 +19,18 @@
 // GangShapes remembers what kinds of gangs have come lately, so that machines that
 // alone can take them are not filled with what fits elsewhere.
 type GangShapes struct {
-	seen map[GangShape]sighting
+	seen map[GangShape]observedGang
 }
 
-type sighting struct {
+type observedGang struct {
 	at    core.Time
 	job   placement.Job
 	class string
 }
 
 const (
-	remembered = 10 * time.Minute
-	maxShapes  = 64
+	shapeRetention = 10 * time.Minute
+	maxShapes      = 64
 )
 
 // Observe remembers a gang.
@@ -39,7 +39,7 @@
 		return
 	}
 	if s.seen == nil {
-		s.seen = map[GangShape]sighting{}
+		s.seen = map[GangShape]observedGang{}
 	}
 	k := GangShape{Need: placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}, Spot: spec.Spot}
 	for _, t := range spec.Types {
@@ -48,7 +48,7 @@
 	if _, ok := s.seen[k]; !ok && len(s.seen) >= maxShapes {
 		return
 	}
-	s.seen[k] = sighting{now, placement.NewJob("", 0, spec), spec.Class}
+	s.seen[k] = observedGang{now, placement.NewJob("", 0, spec), spec.Class}
 }
 
 // GangMachinesOnly tells whether a job's tasks fit only on kinds that are kept.
@@ -93,15 +93,15 @@
 // GangKinds lists the kinds of machine that are kept for gangs: a gang that came
 // lately fits there, does not fit on some other type that arrays can use, and
 // cannot wait until one boots.
-func (s *GangShapes) GangKinds(now core.Time, aims []config.Objective, types map[string]api.MachineType) GangKinds {
+func (s *GangShapes) GangKinds(now core.Time, objectives []config.Objective, types map[string]api.MachineType) GangKinds {
 	out := GangKinds{}
 	for k, seen := range s.seen {
-		if now.Sub(seen.at) > remembered {
+		if now.Sub(seen.at) > shapeRetention {
 			delete(s.seen, k)
 			continue
 		}
 		for _, name := range RestrictedTypes(&seen.job, types) {
-			if canWait(aims, seen.class, 2*core.Seconds(types[name].BootS)) {
+			if toleratesWait(objectives, seen.class, 2*core.Seconds(types[name].BootS)) {
 				continue
 			}
 			out.Add(name, &seen.job)
@@ -128,12 +128,12 @@
 	return fit
 }
 
-// canWait tells whether every aim on the start of a class, of which there is at
+// toleratesWait tells whether every aim on the start of a class, of which there is at
 // least one, leaves a time. Twice the usual boot time covers the slower boots,
 // the rental and the image.
-func canWait(aims []config.Objective, class string, d time.Duration) bool {
+func toleratesWait(objectives []config.Objective, class string, d time.Duration) bool {
 	stated := false
-	for _, a := range aims {
+	for _, a := range objectives {
 		if a.Kind == "wait" && a.Class == class {
 			if a.Within < d {
 				return false
--- a/internal/capacity/share.go
+++ b/internal/capacity/share.go
@@ -9,128 +9,130 @@
 	"lichenstair/internal/placement"
 )
 
-// first lists the beginnings of jobs that have not begun for too long: one task each,
+// overdueStarts lists the beginnings of jobs that have not begun for too long: one task each,
 // or the whole gang. Their block may have no machine at all. What remains of them
 // claims in its turn.
-func first(jobs []*Job) (out []*Job) {
+func overdueStarts(jobs []*Job) (out []*Job) {
 	for _, j := range jobs {
 		if !j.Overdue || j.Failing || j.Remaining == 0 {
 			continue
 		}
-		b := *j
-		b.TimeSensitive = true
+		start := *j
+		start.TimeSensitive = true
 		if !j.Gang {
-			b.Remaining = 1
+			start.Remaining = 1
 		}
-		j.Remaining -= b.Remaining
-		out = append(out, &b)
+		j.Remaining -= start.Remaining
+		out = append(out, &start)
 	}
 	return out
 }
 
-// only lists the jobs that suit, in their order.
-func only(jobs []*Job, suits func(*Job) bool) (out []*Job) {
+// filter lists the jobs that suit, in their order.
+func filter(jobs []*Job, match func(*Job) bool) (out []*Job) {
 	for _, j := range jobs {
-		if suits(j) {
+		if match(j) {
 			out = append(out, j)
 		}
 	}
 	return out
 }
 
-// hold claims what idle-time tasks that run have in their blocks. Work of a higher rank
+// claimForRunning claims what idle-time tasks that run have in their blocks. Work of a higher rank
 // has claimed before, and may have them stopped; other work cannot, so what they have
 // is no room for it.
-func (p *planner) hold(jobs []*Job) {
+func (p *planner) claimForRunning(jobs []*Job) {
 	for _, j := range jobs {
 		n := min(j.Running, j.Remaining)
 		if n <= 0 {
 			continue
 		}
-		j.GangMachinesOnly, j.TasksByZone = GangMachinesOnly(&j.Job, p.in.Types, p.in.GangKinds), map[string]int{}
-		got := p.claim(j, n, func(r *room) bool { return r.block == j.Block })
+		j.GangMachinesOnly, j.TasksByZone = GangMachinesOnly(&j.Job, p.input.Types, p.input.GangKinds), map[string]int{}
+		got := p.claim(j, n, func(r *machineClaims) bool { return r.block == j.Block })
 		j.Remaining -= got
-		p.team[j.Team] += float64(got) * j.Need.CPUs
+		p.claimedCPUs[j.Team] += float64(got) * j.Need.CPUs
 	}
 }
 
-// expect claims room for jobs that may run soon, in their blocks and in the pool, and rents
+// claimForReadySoon claims room for jobs that may run soon, in their blocks and in the pool, and rents
 // what is missing: a step of a pipeline takes less time than a machine takes to boot.
-func (p *planner) expect(jobs []*Job) {
+func (p *planner) claimForReadySoon(jobs []*Job) {
 	for _, j := range jobs {
 		if j.Opportunistic() || j.Failing {
 			continue
 		}
-		j.GangMachinesOnly, j.TasksByZone = GangMachinesOnly(&j.Job, p.in.Types, p.in.GangKinds), map[string]int{}
-		n := p.wants(j)
+		j.GangMachinesOnly, j.TasksByZone = GangMachinesOnly(&j.Job, p.input.Types, p.input.GangKinds), map[string]int{}
+		n := p.wantedTasks(j)
 		if n <= 0 {
 			continue
 		}
-		p.team[j.Team] += float64(n) * j.Need.CPUs
-		n -= p.claim(j, n, func(r *room) bool { return r.block == j.Block })
+		p.claimedCPUs[j.Team] += float64(n) * j.Need.CPUs
+		n -= p.claim(j, n, func(r *machineClaims) bool { return r.block == j.Block })
 		j.Block = NoBlock
-		n -= p.claim(j, n, func(r *room) bool { return r.block == NoBlock })
+		n -= p.claim(j, n, func(r *machineClaims) bool { return r.block == NoBlock })
 		if n > 0 {
 			p.rent(j, n)
 		}
 	}
 }
 
-// unmet is how many tasks of a job found no room.
-type unmet struct {
-	j *Job
-	n int
+// unmetTasks is how many tasks of a job found no room.
+type unmetTasks struct {
+	job   *Job
+	count int
 }
 
-// share lets jobs claim room in their order, first in their blocks, then elsewhere,
+// claimForJobs lets jobs claim room in their order, first in their blocks, then elsewhere,
 // and lists what is left over.
-func (p *planner) share(jobs []*Job) (open []unmet) {
+func (p *planner) claimForJobs(jobs []*Job) (unmet []unmetTasks) {
 	for _, j := range jobs {
-		j.GangMachinesOnly = GangMachinesOnly(&j.Job, p.in.Types, p.in.GangKinds)
-		n := p.wants(j)
+		j.GangMachinesOnly = GangMachinesOnly(&j.Job, p.input.Types, p.input.GangKinds)
+		n := p.wantedTasks(j)
 		if j.Failing && !j.Gang {
 			n = min(n, 1)
 		}
 		if n <= 0 {
 			continue
 		}
-		p.team[j.Team] += float64(n) * j.Need.CPUs
+		p.claimedCPUs[j.Team] += float64(n) * j.Need.CPUs
 		// Work that nobody waits for is no reason to keep machines ready for more.
 		if !j.Gang && j.Spot && !j.Opportunistic() && !j.Failing {
 			p.plan.Demand.SpotCPUs += float64(n) * j.Need.CPUs
 		}
 		j.TasksByZone = map[string]int{}
 		if j.OneZone && j.Zone == "" {
-			j.Zone = p.zone(j, n)
+			j.Zone = p.chooseZone(j, n)
 		}
-		got := p.claim(j, n, func(r *room) bool { return r.block == j.Block })
+		got := p.claim(j, n, func(r *machineClaims) bool { return r.block == j.Block })
 		if got == 0 && j.Starvation == placement.Starved && !j.Gang && !j.GangMachinesOnly {
 			j.GangMachinesOnly = true
-			got = p.claim(j, 1, func(r *room) bool { return r.block == j.Block || r.block == NoBlock && r.m.FreeFor >= starvedAfter/2 })
+			got = p.claim(j, 1, func(r *machineClaims) bool {
+				return r.block == j.Block || r.block == NoBlock && r.machine.FreeFor >= starvedAfter/2
+			})
 			j.GangMachinesOnly = false
 		}
 		n -= got
 		if n > 0 && j.Gang {
-			n -= p.claim(j, n, func(r *room) bool { return r.block == NoBlock })
-			n -= p.claim(j, n, func(r *room) bool { return r.block != j.Block && !r.used })
+			n -= p.claim(j, n, func(r *machineClaims) bool { return r.block == NoBlock })
+			n -= p.claim(j, n, func(r *machineClaims) bool { return r.block != j.Block && !r.claimed })
 		}
 		if n > 0 {
-			open = append(open, unmet{j, n})
+			unmet = append(unmet, unmetTasks{j, n})
 		}
 	}
-	for i, u := range open {
-		open[i].n -= p.claim(u.j, u.n, func(r *room) bool { return r.block == u.j.Block })
-		open[i].n -= p.claim(u.j, open[i].n, func(r *room) bool { return r.block == NoBlock })
-		open[i].n -= p.claim(u.j, open[i].n, func(r *room) bool { return !r.used && r.m.Idle })
-		open[i].n -= p.claim(u.j, open[i].n, func(r *room) bool { return !r.used })
+	for i, u := range unmet {
+		unmet[i].count -= p.claim(u.job, u.count, func(r *machineClaims) bool { return r.block == u.job.Block })
+		unmet[i].count -= p.claim(u.job, unmet[i].count, func(r *machineClaims) bool { return r.block == NoBlock })
+		unmet[i].count -= p.claim(u.job, unmet[i].count, func(r *machineClaims) bool { return !r.claimed && r.machine.Idle })
+		unmet[i].count -= p.claim(u.job, unmet[i].count, func(r *machineClaims) bool { return !r.claimed })
 	}
-	return open
+	return unmet
 }
 
-// alike puts arrays that stand together in the line and differ in nothing that
+// mergeSimilar puts arrays that stand together in the line and differ in nothing that
 // matters here into one: of thousands of jobs of one task each, each claimed its room
 // by looking at every machine.
-func alike(jobs []*Job) (out []*Job) {
+func mergeSimilar(jobs []*Job) (out []*Job) {
 	// What may be late, or is a single task, claims all that remains of it.
 	whole := func(j *Job) bool { return j.Deadline == 0 || j.Guaranteed || j.Remaining == 1 }
 	same := func(a, b *Job) bool {
@@ -151,67 +153,67 @@
 	return out
 }
 
-// wants tells how many tasks of a job should run at the same time.
-func (p *planner) wants(j *Job) int {
+// wantedTasks tells how many tasks of a job should run at the same time.
+func (p *planner) wantedTasks(j *Job) int {
 	n := j.Remaining
 	if j.Gang {
-		if j.SpreadZones && j.Tasks > 1 && p.zones(j) < 2 {
+		if j.SpreadZones && j.Tasks > 1 && p.countZones(j) < 2 {
 			return 0 // no machine makes it fit
 		}
-		if p.team[j.Team]+float64(n)*j.Need.CPUs > p.in.TeamQuota[j.Team]+1e-6 {
+		if p.claimedCPUs[j.Team]+float64(n)*j.Need.CPUs > p.input.TeamQuota[j.Team]+1e-6 {
 			return 0
 		}
 		return n
 	}
 	if j.Deadline > 0 && !j.Guaranteed {
-		n = Concurrency(n, j.Estimate, time.Duration(j.Deadline-p.in.Now)*time.Millisecond)
+		n = Concurrency(n, j.Estimate, time.Duration(j.Deadline-p.input.Now)*time.Millisecond)
 	}
-	return min(n, int((p.in.TeamQuota[j.Team]-p.team[j.Team]+1e-6)/j.Need.CPUs))
+	return min(n, int((p.input.TeamQuota[j.Team]-p.claimedCPUs[j.Team]+1e-6)/j.Need.CPUs))
 }
 
-// pace is the part of the time left in which arrays are to be complete.
-const pace = 0.85
+// usableTimeShare is the part of the time left in which arrays are to be complete.
+const usableTimeShare = 0.85
 
 // Concurrency is how many of an array's tasks should run at a time to be complete with some
 // of the time left; all, where there is too little.
 func Concurrency(tasks int, estimate, left time.Duration) int {
-	rounds := math.Floor(left.Seconds() * pace / max(estimate.Seconds(), 1))
-	if rounds < 1 {
+	waves := math.Floor(left.Seconds() * usableTimeShare / max(estimate.Seconds(), 1))
+	if waves < 1 {
 		return tasks
 	}
-	return int(math.Ceil(float64(tasks) / rounds))
+	return int(math.Ceil(float64(tasks) / waves))
 }
 
-// zones counts the zones in which a job's tasks could be.
-func (p *planner) zones(j *Job) int {
-	in := map[string]bool{}
-	for name, t := range p.in.Types {
+// countZones counts the countZones in which a job's tasks could be.
+func (p *planner) countZones(j *Job) int {
+	zones := map[string]bool{}
+	for name, t := range p.input.Types {
 		for _, z := range t.Zones {
 			if j.Allows(name, z, false) && j.Need.Fits(placement.CapacityOf(t)) {
-				in[z] = true
+				zones[z] = true
 			}
 		}
 	}
-	return len(in)
+	return len(zones)
 }
 
-// zone chooses where all tasks of a job should be: where the machines of its
+// chooseZone chooses where all tasks of a job should be: where the machines of its
 // block take most of them, then where most could be had.
-func (p *planner) zone(j *Job, n int) (best string) {
+func (p *planner) chooseZone(j *Job, n int) (best string) {
 	type count struct{ own, all int }
 	counts := map[string]count{}
-	for _, r := range p.rooms {
-		if !j.Allows(r.m.Type, r.m.Zone, r.m.Spot) || r.block != j.Block && r.used {
+	for _, r := range p.machines {
+		if !j.Allows(r.machine.Type, r.machine.Zone, r.machine.Spot) || r.block != j.Block && r.claimed {
 			continue
 		}
-		k := counts[r.m.Zone]
+		k := counts[r.machine.Zone]
 		for left := r.free; k.all < n && j.Need.Fits(left); left = left.Sub(j.Need) {
 			k.all++
 			if r.block == j.Block {
 				k.own++
 			}
 		}
-		counts[r.m.Zone] = k
+		counts[r.machine.Zone] = k
 	}
 	for _, z := range core.SortedKeys(counts) {
 		if k, top := counts[z], counts[best]; best == "" || k.own > top.own || k.own == top.own && k.all > top.all {
@@ -221,28 +223,28 @@
 	return best
 }
 
-// keeps tells whether a kind of machine is kept from an array for gangs.
-func (p *planner) keeps(j *Job, typ string, spot bool) bool {
-	return !j.Gang && p.in.GangKinds.Has(MachineKind{typ, spot}) && !j.GangMachinesOnly
+// reservedFrom tells whether a kind of machine is kept from an array for gangs.
+func (p *planner) reservedFrom(j *Job, typ string, spot bool) bool {
+	return !j.Gang && p.input.GangKinds.Has(MachineKind{typ, spot}) && !j.GangMachinesOnly
 }
 
 // claim takes room for up to n tasks on machines that suit, and tells how many.
-func (p *planner) claim(j *Job, n int, suits func(*room) bool) int {
+func (p *planner) claim(j *Job, n int, match func(*machineClaims) bool) int {
 	got := 0
-	for _, r := range p.rooms {
+	for _, r := range p.machines {
 		if got >= n {
 			break
 		}
-		if !j.Need.Fits(r.free) || r.kept && !j.Gang && !j.GangMachinesOnly || !suits(r) || !j.Allows(r.m.Type, r.m.Zone, r.m.Spot) {
+		if !j.Need.Fits(r.free) || r.gangReserved && !j.Gang && !j.GangMachinesOnly || !match(r) || !j.Allows(r.machine.Type, r.machine.Zone, r.machine.Spot) {
 			continue
 		}
-		for got < n && r.tasks < placement.MaxTasks && j.Need.Fits(r.free) && j.AllowsZone(r.m.Zone, j.TasksByZone) {
-			j.TasksByZone[r.m.Zone]++
+		for got < n && r.tasks < placement.MaxTasks && j.Need.Fits(r.free) && j.AllowsZone(r.machine.Zone, j.TasksByZone) {
+			j.TasksByZone[r.machine.Zone]++
 			r.free = r.free.Sub(j.Need)
-			r.used, r.block = true, j.Block
+			r.claimed, r.block = true, j.Block
 			r.tasks++
 			if j.Gang {
-				r.gang += j.Need.CPUs
+				r.gangCPUs += j.Need.CPUs
 			}
 			got++
 		}
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -4,64 +4,64 @@
 	"strings"
 )
 
-// beside returns what a later job may use of a machine without delaying the
+// besideReservation returns what a later job may use of a machine without delaying the
 // reservation: all that is free if it ends in time, else what the head leaves.
-func (p *pass) beside(j *Job) freeOf {
+func (p *pass) besideReservation(j *Job) freeFunc {
 	return func(m *Machine) Resources {
 		free := m.Free()
-		hold, held := p.out.ReservedResources[m.ID]
-		if !held || p.now.Add(j.Estimate) <= p.out.ReservedAt {
+		hold, held := p.result.ReservedResources[m.ID]
+		if !held || p.now.Add(j.Estimate) <= p.result.ReservedAt {
 			return free
 		}
-		at := m.freeAt(p.out.ReservedAt).Sub(hold)
-		return free.Min(at)
+		freeAtStart := m.freeAt(p.result.ReservedAt).Sub(hold)
+		return free.Min(freeAtStart)
 	}
 }
 
 // backfill starts later jobs beside the reservation, best pair first.
 func (p *pass) backfill(jobs []*Job) {
 	for _, j := range jobs {
-		if j.Gang && p.teamHasRoom(j, j.Waiting) {
-			for _, m := range p.gang(p.open, j, p.beside(j)) {
+		if j.Gang && p.hasQuota(j, j.Waiting) {
+			for _, m := range p.placeGang(p.candidates, j, p.besideReservation(j)) {
 				p.start(j, m)
 			}
 		}
 	}
-	kinds := p.kinds(jobs)
+	groups := p.groupArrays(jobs)
 	for {
-		var top *kind
-		for _, k := range kinds {
-			if k.stale {
-				p.look(k)
+		var best *jobGroup
+		for _, g := range groups {
+			if g.stale {
+				p.findMachine(g)
 			}
-			if len(k.jobs) == 0 || !p.teamHasRoom(k.jobs[0], 1) || k.m == nil {
+			if len(g.jobs) == 0 || !p.hasQuota(g.jobs[0], 1) || g.machine == nil {
 				continue
 			}
-			if top == nil || p.policy.FirstFit && k.places[0] < top.places[0] ||
-				!p.policy.FirstFit && (k.r.better(top.r) || !top.r.better(k.r) && k.places[0] < top.places[0]) {
-				top = k
+			if best == nil || p.policy.FirstFit && g.positions[0] < best.positions[0] ||
+				!p.policy.FirstFit && (g.rating.better(best.rating) || !best.rating.better(g.rating) && g.positions[0] < best.positions[0]) {
+				best = g
 			}
 		}
-		if top == nil {
+		if best == nil {
 			return
 		}
-		m := top.m
-		p.start(top.jobs[0], m)
-		if top.jobs[0].Waiting == 0 {
-			top.jobs, top.places = top.jobs[1:], top.places[1:]
+		m := best.machine
+		p.start(best.jobs[0], m)
+		if best.jobs[0].Waiting == 0 {
+			best.jobs, best.positions = best.jobs[1:], best.positions[1:]
 		}
-		for _, k := range kinds {
+		for _, g := range groups {
 			// A start changes its machine for all; an option on another machine
 			// stands unless this one has now become better.
 			switch {
-			case k == top || k.m == m:
-				k.stale = true
-			case k.m != nil:
-				j := k.jobs[0]
-				if j.takes(m, p.beside(j)(m)) && j.AllowsZone(m.Zone, j.TasksByZone) {
+			case g == best || g.machine == m:
+				g.stale = true
+			case g.machine != nil:
+				j := g.jobs[0]
+				if j.canRunOn(m, p.besideReservation(j)(m)) && j.AllowsZone(m.Zone, j.TasksByZone) {
 					// Equal ones are taken in the order of the machines, as a full look does.
-					if r := rate(j, m); r.better(k.r) || !k.r.better(r) && m.ID < k.m.ID {
-						k.m, k.r = m, r
+					if r := rate(j, m); r.better(g.rating) || !g.rating.better(r) && m.ID < g.machine.ID {
+						g.machine, g.rating = m, r
 					}
 				}
 			}
@@ -69,56 +69,56 @@
 	}
 }
 
-// kind is arrays whose tasks could take the same machines and rate them alike, in
-// their order. Thousands of jobs of one task each are mostly one kind; looked at one
+// jobGroup is arrays whose tasks could take the same machines and rate them alike, in
+// their order. Thousands of jobs of one task each are mostly one jobGroup; looked at one
 // by one, each start made all of them look for their machine anew: 10 ms a pass with
 // 2,000 of them, all that a sixteenth of a core has.
-type kind struct {
-	jobs   []*Job
-	places []int // of the jobs in the line
-	m      *Machine
-	r      rating
-	stale  bool
+type jobGroup struct {
+	jobs      []*Job
+	positions []int // of the jobs in the line
+	machine   *Machine
+	rating    rating
+	stale     bool
 }
 
-// kindKey is what makes jobs alike to machines. Allowed types are joined.
-type kindKey struct {
-	team, image, zone, types string
-	need                     Resources
-	spot, noChoice, in       bool
-	starvation               Starvation
-	own                      int // set for jobs that are like no others
+// groupKey is what makes jobs alike to machines. Allowed types are joined.
+type groupKey struct {
+	team, image, zone, types           string
+	need                               Resources
+	spot, gangMachinesOnly, endsInTime bool
+	starvation                         Starvation
+	unique                             int // set for jobs that are like no others
 }
 
-// kinds sorts waiting arrays by kind, the first in line first.
-func (p *pass) kinds(jobs []*Job) (out []*kind) {
-	byKey := map[kindKey]*kind{}
+// groupArrays sorts waiting arrays by kind, the first in line first.
+func (p *pass) groupArrays(jobs []*Job) (out []*jobGroup) {
+	byKey := map[groupKey]*jobGroup{}
 	for i, j := range jobs {
 		if j.Gang || j.Waiting <= 0 {
 			continue
 		}
-		key := kindKey{team: j.Team, image: j.Image, zone: j.Zone, need: j.Need, spot: j.Spot, noChoice: j.GangMachinesOnly, starvation: j.Starvation, in: p.now.Add(j.Estimate) <= p.out.ReservedAt}
+		key := groupKey{team: j.Team, image: j.Image, zone: j.Zone, need: j.Need, spot: j.Spot, gangMachinesOnly: j.GangMachinesOnly, starvation: j.Starvation, endsInTime: p.now.Add(j.Estimate) <= p.result.ReservedAt}
 		if j.OneZone || j.SpreadZones || len(j.ExcludedMachines) > 0 {
-			key.own = i + 1
+			key.unique = i + 1
 		}
 		if j.Types != nil {
 			key.types = "only " + strings.Join(j.Types, " ")
 		}
-		k := byKey[key]
-		if k == nil {
-			k = &kind{stale: true}
-			byKey[key] = k
-			out = append(out, k)
+		g := byKey[key]
+		if g == nil {
+			g = &jobGroup{stale: true}
+			byKey[key] = g
+			out = append(out, g)
 		}
-		k.jobs, k.places = append(k.jobs, j), append(k.places, i)
+		g.jobs, g.positions = append(g.jobs, j), append(g.positions, i)
 	}
 	return out
 }
 
-// look finds the best machine for a kind's next task.
-func (p *pass) look(k *kind) {
-	k.m, k.r, k.stale = nil, rating{}, false
-	if len(k.jobs) > 0 && p.teamHasRoom(k.jobs[0], 1) {
-		k.m, k.r = p.best(k.jobs[0], p.beside(k.jobs[0]))
+// findMachine finds the best machine for a kind's next task.
+func (p *pass) findMachine(g *jobGroup) {
+	g.machine, g.rating, g.stale = nil, rating{}, false
+	if len(g.jobs) > 0 && p.hasQuota(g.jobs[0], 1) {
+		g.machine, g.rating = p.best(g.jobs[0], p.besideReservation(g.jobs[0]))
 	}
 }
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -50,7 +50,7 @@
 func benchMachines(r *rand.Rand, n int, used float64) (machines []*Machine) {
 	one := Resources{CPUs: 1, MemoryGB: 2}
 	for i := range n {
-		m := machineOf(fmt.Sprintf("n-%03d", i), []float64{4, 32, 64}[i%8/6], 128)
+		m := newMachine(fmt.Sprintf("n-%03d", i), []float64{4, 32, 64}[i%8/6], 128)
 		m.MaxTasks = MaxTasks
 		for range int(m.Total.CPUs * used) {
 			m.Booked = m.Booked.Add(one)
--- a/internal/placement/defer.go
+++ b/internal/placement/defer.go
@@ -27,54 +27,54 @@
 // the order: whoever is deferred takes what the others leave.
 //
 // cpus is what the team can use, and running the work of tasks that already run.
-func Defer(now core.WallTime, cpus, running float64, jobs []*Job) {
-	left := jobs
-	kept := []*Job{}
-	for stage := 0; len(left) > 0; stage++ {
-		var due []*Job
-		for _, j := range left {
+func Defer(now core.WallTime, cpus, runningWork float64, jobs []*Job) {
+	remaining := jobs
+	onTime := []*Job{}
+	for stage := 0; len(remaining) > 0; stage++ {
+		var candidates []*Job
+		for _, j := range remaining {
 			if stage < len(j.Timing.Due) {
-				due = append(due, j)
+				candidates = append(candidates, j)
 			}
 		}
-		sort.SliceStable(due, func(a, b int) bool { return due[a].Timing.Due[stage] < due[b].Timing.Due[stage] })
-		used := running
-		for _, j := range kept {
-			used += j.Timing.Work
+		sort.SliceStable(candidates, func(a, b int) bool { return candidates[a].Timing.Due[stage] < candidates[b].Timing.Due[stage] })
+		work := runningWork
+		for _, j := range onTime {
+			work += j.Timing.Work
 		}
-		var taken byWork
-		var dropped []*Job
-		for _, j := range due {
-			have := float64(j.Timing.Due[stage]-now) / 1000
-			if have < (j.Estimate + fetchTime).Seconds() {
-				dropped = append(dropped, j) // too late whatever is done
+		var accepted workHeap
+		var deferred []*Job
+		for _, j := range candidates {
+			secondsLeft := float64(j.Timing.Due[stage]-now) / 1000
+			if secondsLeft < (j.Estimate + fetchTime).Seconds() {
+				deferred = append(deferred, j) // too late whatever is done
 				continue
 			}
-			heap.Push(&taken, j)
-			used += j.Timing.Work
-			for used > have*cpus && len(taken) > 0 {
-				most := heap.Pop(&taken).(*Job)
-				used -= most.Timing.Work
-				dropped = append(dropped, most)
+			heap.Push(&accepted, j)
+			work += j.Timing.Work
+			for work > secondsLeft*cpus && len(accepted) > 0 {
+				largest := heap.Pop(&accepted).(*Job)
+				work -= largest.Timing.Work
+				deferred = append(deferred, largest)
 			}
 		}
-		for _, j := range dropped {
+		for _, j := range deferred {
 			j.MissedDueTimes = stage + 1
 		}
-		kept, left = append(kept, taken...), dropped
+		onTime, remaining = append(onTime, accepted...), deferred
 	}
 }
 
-// byWork is a heap of jobs, the one with the most work first.
-type byWork []*Job
+// workHeap is a heap of jobs, the one with the most work first.
+type workHeap []*Job
 
-func (w byWork) Len() int { return len(w) }
-func (w byWork) Less(a, b int) bool {
+func (w workHeap) Len() int { return len(w) }
+func (w workHeap) Less(a, b int) bool {
 	return w[a].Timing.Work > w[b].Timing.Work || w[a].Timing.Work == w[b].Timing.Work && w[a].ID < w[b].ID
 }
-func (w byWork) Swap(a, b int) { w[a], w[b] = w[b], w[a] }
-func (w *byWork) Push(x any)   { *w = append(*w, x.(*Job)) }
-func (w *byWork) Pop() any {
+func (w workHeap) Swap(a, b int) { w[a], w[b] = w[b], w[a] }
+func (w *workHeap) Push(x any)   { *w = append(*w, x.(*Job)) }
+func (w *workHeap) Pop() any {
 	last := (*w)[len(*w)-1]
 	*w = (*w)[:len(*w)-1]
 	return last
--- a/internal/placement/defer_test.go
+++ b/internal/placement/defer_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// late counts the jobs that end after their due time when a team with so many CPUs
+// countLate counts the jobs that end after their due time when a team with so many CPUs
 // serves them in the order of Sort, one after the other.
-func late(cpus float64, jobs []*Job) (n int) {
+func countLate(cpus float64, jobs []*Job) (n int) {
 	Sort(jobs)
 	used := 0.0
 	for _, j := range jobs {
@@ -90,7 +90,7 @@
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		const cpus = 10.0
-		make := func(load float64) (jobs []*Job) {
+		newJobs := func(load float64) (jobs []*Job) {
 			for i := range 12 {
 				jobs = append(jobs, &Job{
 					ID: core.JobID(rune('a' + i)), ReadyAt: core.WallTime(i + 1), Guaranteed: i < 4, Estimate: time.Millisecond,
@@ -99,27 +99,27 @@
 			}
 			return jobs
 		}
-		calm := make(0.1)
-		OrderByDue(0, cpus, 0, calm)
-		Sort(calm)
-		for i, j := range calm {
+		light := newJobs(0.1)
+		OrderByDue(0, cpus, 0, light)
+		Sort(light)
+		for i, j := range light {
 			if j.ReadyAt != core.WallTime(i+1) || j.QueueTime != 0 {
 				t.Fatalf("seed %d: the order changed though all have time", seed)
 			}
 		}
-		full := make(1)
-		Defer(0, cpus, 0, full)
-		before += late(cpus, full)
-		guaranteed, places := 0, map[core.WallTime]bool{}
-		OrderByDue(0, cpus, 0, full)
-		after += late(cpus, full)
-		for _, j := range full {
+		overloaded := newJobs(1)
+		Defer(0, cpus, 0, overloaded)
+		before += countLate(cpus, overloaded)
+		guaranteed, queueTimes := 0, map[core.WallTime]bool{}
+		OrderByDue(0, cpus, 0, overloaded)
+		after += countLate(cpus, overloaded)
+		for _, j := range overloaded {
 			if j.Guaranteed {
 				guaranteed++
 			}
-			places[j.turn()] = true
+			queueTimes[j.queueTime()] = true
 		}
-		if guaranteed != 4 || len(places) != len(full) {
+		if guaranteed != 4 || len(queueTimes) != len(overloaded) {
 			t.Fatalf("seed %d: the team's places in line are not those it had", seed)
 		}
 	}
--- a/internal/placement/dueorder.go
+++ b/internal/placement/dueorder.go
@@ -15,11 +15,11 @@
 // of somebody's time; until then nothing changes. Those that are deferred come after.
 //
 // cpus and running are as for Defer, which has to come first.
-func OrderByDue(now core.WallTime, cpus, running float64, jobs []*Job) {
-	if !someLate(now, cpus, running, jobs) {
+func OrderByDue(now core.WallTime, cpus, runningWork float64, jobs []*Job) {
+	if !exceedsHalfTime(now, cpus, runningWork, jobs) {
 		return
 	}
-	type place struct {
+	type queueSlot struct {
 		guaranteed bool
 		at         core.WallTime
 	}
@@ -29,29 +29,29 @@
 	}
 	for _, late := range core.SortedKeys(byLate) {
 		group := byLate[late]
-		slices.SortStableFunc(group, inLine)
-		var places []place
+		slices.SortStableFunc(group, compareInQueue)
+		var slots []queueSlot
 		for _, j := range group {
-			places = append(places, place{j.Guaranteed, j.turn()})
+			slots = append(slots, queueSlot{j.Guaranteed, j.queueTime()})
 		}
 		due := func(j *Job) core.WallTime { return j.Timing.Due[min(late, len(j.Timing.Due)-1)] }
 		slices.SortStableFunc(group, func(a, b *Job) int { return cmp.Compare(due(a), due(b)) })
 		for i, j := range group {
-			j.Guaranteed, j.QueueTime = places[i].guaranteed, places[i].at
+			j.Guaranteed, j.QueueTime = slots[i].guaranteed, slots[i].at
 		}
 	}
 }
 
-// someLate tells whether serving jobs in the order of their places would take more
+// exceedsHalfTime tells whether serving jobs in the order of their places would take more
 // than half of the time that one of them has.
-func someLate(now core.WallTime, cpus, running float64, jobs []*Job) bool {
-	line := slices.Clone(jobs)
-	slices.SortStableFunc(line, inLine)
-	used := running
-	for _, j := range line {
-		used += j.Timing.Work
-		have := float64(j.Timing.Due[0]-now)/1000 - (j.Estimate + fetchTime).Seconds()
-		if 2*used > have*cpus {
+func exceedsHalfTime(now core.WallTime, cpus, runningWork float64, jobs []*Job) bool {
+	queue := slices.Clone(jobs)
+	slices.SortStableFunc(queue, compareInQueue)
+	work := runningWork
+	for _, j := range queue {
+		work += j.Timing.Work
+		secondsLeft := float64(j.Timing.Due[0]-now)/1000 - (j.Estimate + fetchTime).Seconds()
+		if 2*work > secondsLeft*cpus {
 			return true
 		}
 	}
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -4,63 +4,63 @@
 	"sort"
 )
 
-// gang finds machines for all waiting tasks at once, or nil.
-func (p *pass) gang(machines []*Machine, j *Job, free freeOf) []*Machine {
+// placeGang finds machines for all waiting tasks at once, or nil.
+func (p *pass) placeGang(machines []*Machine, j *Job, free freeFunc) []*Machine {
 	if !j.OneZone {
-		return p.members(machines, j, free, "")
+		return p.placeGangIn(machines, j, free, "")
 	}
-	var top []*Machine
-	var topScore float64
+	var best []*Machine
+	var bestScore float64
 	tried := map[string]bool{}
 	for _, m := range machines {
 		if tried[m.Zone] {
 			continue
 		}
 		tried[m.Zone] = true
-		picks := p.members(machines, j, free, m.Zone)
+		picks := p.placeGangIn(machines, j, free, m.Zone)
 		if picks == nil {
 			continue
 		}
-		sum := 0.0
+		score := 0.0
 		for _, m := range picks {
 			s, _ := Score(m, j.Need)
-			sum += s
+			score += s
 		}
-		if top == nil || sum < topScore {
-			top, topScore = picks, sum
+		if best == nil || score < bestScore {
+			best, bestScore = picks, score
 		}
 	}
-	return top
+	return best
 }
 
-func (p *pass) members(machines []*Machine, j *Job, free freeOf, zone string) []*Machine {
-	type room struct {
-		m    *Machine
-		left Resources
-		r    rating
+func (p *pass) placeGangIn(machines []*Machine, j *Job, free freeFunc, zone string) []*Machine {
+	type option struct {
+		machine *Machine
+		left    Resources
+		rating  rating
 	}
-	var rooms []room
+	var options []option
 	for _, m := range machines {
 		if zone != "" && m.Zone != zone || !j.Allows(m.Type, m.Zone, m.Spot) || j.ExcludedMachines[m.ID] || !j.gangMayUse(m) {
 			continue
 		}
 		if f := free(m); j.Need.Fits(f) {
-			rooms = append(rooms, room{m, f, rate(j, m)})
+			options = append(options, option{m, f, rate(j, m)})
 		}
 	}
-	sort.SliceStable(rooms, func(a, b int) bool { return rooms[a].r.better(rooms[b].r) })
+	sort.SliceStable(options, func(a, b int) bool { return options[a].rating.better(options[b].rating) })
 	zones := map[string]int{}
 	for z, n := range j.TasksByZone {
 		zones[z] = n
 	}
 	var picks []*Machine
-	for i := range rooms {
+	for i := range options {
 		n := 1
-		for len(picks) < j.Waiting && !rooms[i].m.full(n) && j.Need.Fits(rooms[i].left) && j.AllowsZone(rooms[i].m.Zone, zones) {
+		for len(picks) < j.Waiting && !options[i].machine.full(n) && j.Need.Fits(options[i].left) && j.AllowsZone(options[i].machine.Zone, zones) {
 			n++
-			rooms[i].left = rooms[i].left.Sub(j.Need)
-			zones[rooms[i].m.Zone]++
-			picks = append(picks, rooms[i].m)
+			options[i].left = options[i].left.Sub(j.Need)
+			zones[options[i].machine.Zone]++
+			picks = append(picks, options[i].machine)
 		}
 	}
 	if len(picks) < j.Waiting {
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -72,26 +72,26 @@
 // time for it.
 func (j *Job) Opportunistic() bool { return !j.TimeSensitive && j.Rank == Rank(api.RankBestEffort) }
 
-// turn is the job's place in line among those that are equal else.
-func (j *Job) turn() core.WallTime { return cmp.Or(j.QueueTime, j.ReadyAt) }
+// queueTime is the job's place in line among those that are equal else.
+func (j *Job) queueTime() core.WallTime { return cmp.Or(j.QueueTime, j.ReadyAt) }
 
-// inLine orders jobs that are equal in rank and timing: work within a guarantee
+// compareInQueue orders jobs that are equal in rank and timing: work within a guarantee
 // before borrowed, then the oldest first.
-func inLine(a, b *Job) int {
+func compareInQueue(a, b *Job) int {
 	switch {
 	case a.Guaranteed != b.Guaranteed && a.Guaranteed:
 		return -1
 	case a.Guaranteed != b.Guaranteed:
 		return 1
 	}
-	return cmp.Or(cmp.Compare(a.turn(), b.turn()), cmp.Compare(a.ID, b.ID))
+	return cmp.Or(cmp.Compare(a.queueTime(), b.queueTime()), cmp.Compare(a.ID, b.ID))
 }
 
 // NewJob describes a job from its specification; what has happened to it so far
 // is for the caller to add.
-func NewJob(id core.JobID, at core.WallTime, spec *api.Job) Job {
+func NewJob(id core.JobID, readyAt core.WallTime, spec *api.Job) Job {
 	j := Job{
-		ID: id, Team: spec.Team, Rank: Rank(spec.Rank), ReadyAt: at, Need: Resources{spec.CPUs, spec.GPUs, spec.MemoryGB},
+		ID: id, Team: spec.Team, Rank: Rank(spec.Rank), ReadyAt: readyAt, Need: Resources{spec.CPUs, spec.GPUs, spec.MemoryGB},
 		Gang: spec.Form == api.FormGang, Tasks: spec.Tasks, Types: spec.Types, OneZone: spec.OneZone, SpreadZones: spec.SpreadZones,
 		Spot: spec.Spot, Image: spec.Image, Estimate: core.Seconds(spec.EstimateS),
 	}
@@ -146,14 +146,14 @@
 			return x.Rank > y.Rank
 		case x.Overdue != y.Overdue:
 			return x.Overdue
-		case x.goesFirst() != y.goesFirst():
-			return x.goesFirst()
+		case x.startsFirst() != y.startsFirst():
+			return x.startsFirst()
 		case x.MissedDueTimes != y.MissedDueTimes:
 			return x.MissedDueTimes < y.MissedDueTimes
 		case x.TimeSensitive != y.TimeSensitive:
 			return x.TimeSensitive
 		}
-		return inLine(x, y) < 0
+		return compareInQueue(x, y) < 0
 	})
 }
 
@@ -189,20 +189,20 @@
 	return true
 }
 
-// passes tells whether the job may use what its team has left although a larger one that
+// mayBypass tells whether the job may use what its team has left although a larger one that
 // does not fit into it is next. One task of a job that has nothing running delays that
 // one by little; a gang of several, by as much as it takes, so not if it is overdue.
-func (j *Job) passes(next *Job) bool {
+func (j *Job) mayBypass(next *Job) bool {
 	return j.Starvation == Starved && (!j.Gang || j.Tasks == 1 || !next.Overdue)
 }
 
-// goesFirst tells whether the job's one task is served first of its rank. One whose zone
+// startsFirst tells whether the job's one task is served first of its rank. One whose zone
 // was full stood behind others, while a machine of another block had room.
-func (j *Job) goesFirst() bool { return j.Starvation == Starved && !j.Gang }
+func (j *Job) startsFirst() bool { return j.Starvation == Starved && !j.Gang }
 
-// takes tells whether one more task of an array could be on a machine, its zones
+// canRunOn tells whether one more task of an array could be on a machine, its zones
 // aside.
-func (j *Job) takes(m *Machine, free Resources) bool {
+func (j *Job) canRunOn(m *Machine, free Resources) bool {
 	return !m.full(1) && j.mayUse(m) && j.Need.Fits(free) && j.Allows(m.Type, m.Zone, m.Spot) && !j.ExcludedMachines[m.ID]
 }
 
@@ -215,7 +215,7 @@
 	if m.Draining {
 		return false
 	}
-	return !m.GangReserved || j.GangMachinesOnly || j.Starvation != NotStarving && m.sparesFor(j)
+	return !m.GangReserved || j.GangMachinesOnly || j.Starvation != NotStarving && m.leavesGangRoom(j)
 }
 
 // gangMayUse is mayUse for a gang: machines are kept for gangs.
--- a/internal/placement/need.go
+++ b/internal/placement/need.go
@@ -22,11 +22,11 @@
 	return Resources{n.CPUs * k, n.GPUs * k, n.MemoryGB * k}
 }
 
-const slack = 1e-6
+const fitTolerance = 1e-6
 
 // Fits tells whether n is no more than room.
 func (n Resources) Fits(room Resources) bool {
-	return n.CPUs <= room.CPUs+slack && n.GPUs <= room.GPUs+slack && n.MemoryGB <= room.MemoryGB+slack
+	return n.CPUs <= room.CPUs+fitTolerance && n.GPUs <= room.GPUs+fitTolerance && n.MemoryGB <= room.MemoryGB+fitTolerance
 }
 
 // Min is the smaller amount of each resource.
@@ -36,7 +36,7 @@
 
 // FitsQuota is Fits for what teams are limited in: CPUs and GPUs.
 func (n Resources) FitsQuota(room Resources) bool {
-	return n.CPUs <= room.CPUs+slack && n.GPUs <= room.GPUs+slack
+	return n.CPUs <= room.CPUs+fitTolerance && n.GPUs <= room.GPUs+fitTolerance
 }
 
 // CapacityOf is all that a machine of a type has.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -55,10 +55,10 @@
 // full tells whether n more tasks are too many for the machine.
 func (m *Machine) full(n int) bool { return m.MaxTasks > 0 && m.Tasks+n > m.MaxTasks }
 
-// sparesFor tells whether a task of an array takes nothing from the gangs for which the
+// leavesGangRoom tells whether a task of an array takes nothing from the gangs for which the
 // machine is kept: it leaves them room, and has ended by the time at which the machine
 // could go to another block that has such a gang.
-func (m *Machine) sparesFor(j *Job) bool {
+func (m *Machine) leavesGangRoom(j *Job) bool {
 	return j.Estimate <= m.BusyFor && j.Need.Add(m.BookedByArrays).Add(m.GangTaskSize).Fits(m.Total)
 }
 
@@ -68,16 +68,18 @@
 // Team is what a team uses and may use.
 type Team struct {
 	Used, Quota Resources
-	// next was skipped because of the limit. What the team has left is for that job;
+	// waitsForQuota was skipped because of the limit. What the team has left is for that job;
 	// later ones must not take it away bit by bit.
-	next *Job
+	waitsForQuota *Job
 }
 
 // Allows tells whether the team's limit leaves room for a need.
 func (t *Team) Allows(need Resources) bool { return t.Used.Add(need).FitsQuota(t.Quota) }
 
 // WithholdsFrom tells whether what the team has left is not for a job, since a larger one is next.
-func (t *Team) WithholdsFrom(j *Job) bool { return t.next != nil && t.next != j && !j.passes(t.next) }
+func (t *Team) WithholdsFrom(j *Job) bool {
+	return t.waitsForQuota != nil && t.waitsForQuota != j && !j.mayBypass(t.waitsForQuota)
+}
 
 // Start is a task of a job to be started on a machine.
 type Start struct {
@@ -101,17 +103,17 @@
 }
 
 type pass struct {
-	now      core.Time
-	policy   Policy
-	machines []*Machine
-	open     []*Machine // those with room for the smallest need of any job
-	teams    map[string]*Team
-	out      Result
+	now        core.Time
+	policy     Policy
+	machines   []*Machine
+	candidates []*Machine // those with room for the smallest need of any job
+	teams      map[string]*Team
+	result     Result
 }
 
-// findOpen leaves out the machines on which nothing can start in this pass: in a
+// findCandidates leaves out the machines on which nothing can start in this pass: in a
 // busy block those are nearly all, and each job would look at them again.
-func (p *pass) findOpen(jobs []*Job) {
+func (p *pass) findCandidates(jobs []*Job) {
 	if len(jobs) == 0 {
 		return
 	}
@@ -121,7 +123,7 @@
 	}
 	for _, m := range p.machines {
 		if !m.full(1) && least.Fits(m.Free()) {
-			p.open = append(p.open, m)
+			p.candidates = append(p.candidates, m)
 		}
 	}
 }
@@ -131,30 +133,30 @@
 func Schedule(now core.Time, machines []*Machine, jobs []*Job, teams map[string]*Team, policy Policy) Result {
 	p := &pass{now: now, policy: policy, machines: machines, teams: teams}
 	Sort(jobs)
-	p.findOpen(jobs)
+	p.findCandidates(jobs)
 	rest := jobs
-	for len(rest) > 0 && p.out.ReservedJob == "" {
-		p.head(rest[0])
+	for len(rest) > 0 && p.result.ReservedJob == "" {
+		p.scheduleHead(rest[0])
 		rest = rest[1:]
 	}
 	p.backfill(rest)
-	return p.out
+	return p.result
 }
 
-// head starts what it can of the oldest job, and reserves for the rest of it.
-func (p *pass) head(j *Job) {
+// scheduleHead starts what it can of the oldest job, and reserves for the rest of it.
+func (p *pass) scheduleHead(j *Job) {
 	if j.Gang {
-		if !p.teamHasRoom(j, j.Waiting) {
+		if !p.hasQuota(j, j.Waiting) {
 			return
 		}
-		if picks := p.gang(p.open, j, p.free); picks != nil {
+		if picks := p.placeGang(p.candidates, j, p.free); picks != nil {
 			for _, m := range picks {
 				p.start(j, m)
 			}
 			return
 		}
 	} else {
-		if !p.fill(j) || j.Waiting == 0 {
+		if !p.startArrayTasks(j) || j.Waiting == 0 {
 			return
 		}
 	}
@@ -163,20 +165,20 @@
 	}
 }
 
-// fill starts tasks of the oldest array, each on its best machine, as long as
+// startArrayTasks starts tasks of the oldest array, each on its best machine, as long as
 // machines have room. It tells false if the team's limit was met first.
-func (p *pass) fill(j *Job) bool {
-	var line *ranking
+func (p *pass) startArrayTasks(j *Job) bool {
+	var ranked *ranking
 	if !j.OneZone && !j.SpreadZones && !p.policy.FirstFit {
-		line = p.rank(j)
+		ranked = p.rank(j)
 	}
 	for j.Waiting > 0 {
-		if !p.teamHasRoom(j, 1) {
+		if !p.hasQuota(j, 1) {
 			return false
 		}
 		var m *Machine
-		if line != nil {
-			m = line.best(p)
+		if ranked != nil {
+			m = ranked.best(p)
 		} else {
 			m, _ = p.best(j, p.free)
 		}
@@ -188,7 +190,7 @@
 	return true
 }
 
-func (p *pass) teamHasRoom(j *Job, tasks int) bool {
+func (p *pass) hasQuota(j *Job, tasks int) bool {
 	t := p.teams[j.Team]
 	if t == nil {
 		return false
@@ -197,8 +199,8 @@
 		return false
 	}
 	if !t.Allows(j.Need.Scale(float64(tasks))) {
-		if t.next == nil {
-			t.next = j
+		if t.waitsForQuota == nil {
+			t.waitsForQuota = j
 		}
 		return false
 	}
@@ -220,22 +222,22 @@
 	if t := p.teams[j.Team]; t != nil {
 		t.Used = t.Used.Add(j.Need)
 	}
-	p.out.Starts = append(p.out.Starts, Start{j.ID, m.ID})
+	p.result.Starts = append(p.result.Starts, Start{j.ID, m.ID})
 }
 
-type freeOf func(m *Machine) Resources
+type freeFunc func(m *Machine) Resources
 
 func (p *pass) free(m *Machine) Resources { return m.Free() }
 
 // freeAt estimates what is free at a time.
 func (m *Machine) freeAt(at core.Time) Resources {
-	f := m.Free()
+	free := m.Free()
 	for _, r := range m.Releases {
 		if r.At <= at {
-			f = f.Add(r.Resources)
+			free = free.Add(r.Resources)
 		}
 	}
-	return f
+	return free
 }
 
 // reserve holds the machines that can take the head job soonest by estimate. What
@@ -258,7 +260,7 @@
 	at := func(i int) []*Machine {
 		free := func(m *Machine) Resources { return m.freeAt(times[i]) }
 		if j.Gang {
-			return p.gang(machines, j, free)
+			return p.placeGang(machines, j, free)
 		}
 		if m, _ := p.bestOf(machines, j, free); m != nil {
 			return []*Machine{m}
@@ -269,8 +271,8 @@
 	if i == len(times) {
 		return
 	}
-	p.out.ReservedJob, p.out.ReservedAt, p.out.ReservedResources = j.ID, times[i], map[core.MachineID]Resources{}
+	p.result.ReservedJob, p.result.ReservedAt, p.result.ReservedResources = j.ID, times[i], map[core.MachineID]Resources{}
 	for _, m := range at(i) {
-		p.out.ReservedResources[m.ID] = p.out.ReservedResources[m.ID].Add(j.Need)
+		p.result.ReservedResources[m.ID] = p.result.ReservedResources[m.ID].Add(j.Need)
 	}
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -10,14 +10,14 @@
 	"lichenstair/internal/core"
 )
 
-func machineOf(id string, cpus, mem float64) *Machine {
+func newMachine(id string, cpus, mem float64) *Machine {
 	return &Machine{ID: core.MachineID(id), Type: "t", Zone: "a", Total: Resources{CPUs: cpus, MemoryGB: mem}, Images: map[string]bool{}}
 }
 
 // The score is worked out by hand: 4 of 8 CPUs and 8 of 32 GB give fractions
 // 0.5 and 0.25, so (0.5/0.375 - 1) * (1 - 0.375).
 func TestScore(t *testing.T) {
-	s, mean := Score(machineOf("m", 8, 32), Resources{CPUs: 4, MemoryGB: 8})
+	s, mean := Score(newMachine("m", 8, 32), Resources{CPUs: 4, MemoryGB: 8})
 	if math.Abs(s-(0.5/0.375-1)*0.625) > 1e-12 || math.Abs(mean-0.375) > 1e-12 {
 		t.Fatal(s, mean)
 	}
@@ -27,7 +27,7 @@
 // it only if it ends in time, or if the head still fits beside it.
 func TestReservation(t *testing.T) {
 	teams := map[string]*Team{"red": {Quota: Resources{CPUs: 1000}}}
-	m := machineOf("m", 8, 64)
+	m := newMachine("m", 8, 64)
 	m.Booked = Resources{CPUs: 4, MemoryGB: 4}
 	m.Releases = []Release{{core.Time(20 * time.Second), Resources{CPUs: 4, MemoryGB: 4}}}
 	head := &Job{ID: "head", Team: "red", ReadyAt: 1, Need: Resources{CPUs: 7, MemoryGB: 4}, Tasks: 1, Waiting: 1, Estimate: time.Minute}
@@ -51,12 +51,12 @@
 	gang := &Job{ID: "gang", Team: "red", Rank: 2, Need: Resources{CPUs: 30}, Gang: true, Tasks: 1, Waiting: 1}
 	small := &Job{ID: "small", Team: "red", Rank: 1, Need: Resources{CPUs: 1}, Tasks: 30, Waiting: 30}
 	other := &Job{ID: "other", Team: "blue", Rank: 1, Need: Resources{CPUs: 1}, Tasks: 5, Waiting: 5}
-	Schedule(0, []*Machine{machineOf("m", 64, 64)}, []*Job{gang, small, other}, teams, Policy{})
+	Schedule(0, []*Machine{newMachine("m", 64, 64)}, []*Job{gang, small, other}, teams, Policy{})
 	if gang.Waiting != 1 || small.Waiting != 30 || other.Waiting != 0 {
 		t.Fatal(gang.Waiting, small.Waiting, other.Waiting)
 	}
 	teams["red"] = &Team{Used: Resources{CPUs: 70}, Quota: Resources{CPUs: 100}}
-	Schedule(0, []*Machine{machineOf("m", 64, 64)}, []*Job{gang, small}, teams, Policy{})
+	Schedule(0, []*Machine{newMachine("m", 64, 64)}, []*Job{gang, small}, teams, Policy{})
 	if gang.Waiting != 0 {
 		t.Fatal("the gang does not start though there is room")
 	}
@@ -69,7 +69,7 @@
 		r := rand.New(rand.NewPCG(seed, 3))
 		var machines []*Machine
 		for i := range 1 + r.IntN(10) {
-			m := machineOf(fmt.Sprint("m", i), float64(4+r.IntN(30)), float64(16+r.IntN(100)))
+			m := newMachine(fmt.Sprint("m", i), float64(4+r.IntN(30)), float64(16+r.IntN(100)))
 			m.Zone, m.Spot, m.Type = []string{"a", "b"}[r.IntN(2)], r.IntN(3) == 0, []string{"t", "u"}[r.IntN(2)]
 			machines = append(machines, m)
 		}
@@ -148,21 +148,21 @@
 // a machine with room. It waited there for as long as a gang that needed nearly all of its
 // team's limit. A gang does not pass one that is overdue.
 func TestStarvingJobsBegin(t *testing.T) {
-	kept := func(gang, arrays float64) func(*Machine, *Team) {
+	reserved := func(gang, arrays float64) func(*Machine, *Team) {
 		return func(m *Machine, _ *Team) {
 			m.GangReserved, m.GangTaskSize, m.BookedByArrays = true, Resources{CPUs: gang, MemoryGB: 1}, Resources{CPUs: arrays, MemoryGB: 1}
 			m.BusyFor = time.Minute
 		}
 	}
-	empty := func(m *Machine, t *Team) {
-		kept(7, 0)(m, t)
+	freeSoon := func(m *Machine, t *Team) {
+		reserved(7, 0)(m, t)
 		m.BusyFor = time.Second
 	}
-	inUse := func(m *Machine, _ *Team) {
+	recentlyBusy := func(m *Machine, _ *Team) {
 		m.GangReserved, m.GangTaskSize, m.RecentMinFree = true, m.Total, Resources{CPUs: 0.5, MemoryGB: 64}
 	}
-	asked := func(m *Machine, _ *Team) { m.Draining = true }
-	limit := func(_ *Machine, t *Team) { t.Used.CPUs = 6 }
+	draining := func(m *Machine, _ *Team) { m.Draining = true }
+	quota := func(_ *Machine, t *Team) { t.Used.CPUs = 6 }
 	for _, tc := range []struct {
 		name       string
 		starvation Starvation // of the job
@@ -171,24 +171,24 @@
 		change     func(m *Machine, team *Team)
 		starts     bool
 	}{
-		{"kept", NotStarving, false, false, kept(7, 0), false},
-		{"kept, starving", Starving, false, false, kept(7, 0), true},
-		{"kept, starving, room for the gang in part", Starving, false, false, kept(7.5, 0), false},
-		{"kept, starving, other arrays beside the gang", Starving, false, false, kept(7, 1), false},
-		{"kept, starving, the gang's task ends sooner", Starving, false, false, empty, false},
-		{"kept, starved", Starved, false, false, kept(8, 0), true},
-		{"kept and in use until now, starved", Starved, false, false, inUse, false},
-		{"asked back", NotStarving, false, false, asked, false},
-		{"asked back, starving", Starving, false, false, asked, false},
-		{"asked back, starved", Starved, false, false, asked, true},
-		{"limit", NotStarving, false, false, limit, false},
-		{"limit, starving", Starving, false, false, limit, false},
-		{"limit, starved", Starved, false, false, limit, true},
-		{"limit, the larger one overdue", Starved, true, false, limit, true},
-		{"limit, a gang", Starved, false, true, limit, true},
-		{"limit, a gang, the larger one overdue", Starved, true, true, limit, false},
+		{"kept", NotStarving, false, false, reserved(7, 0), false},
+		{"kept, starving", Starving, false, false, reserved(7, 0), true},
+		{"kept, starving, room for the gang in part", Starving, false, false, reserved(7.5, 0), false},
+		{"kept, starving, other arrays beside the gang", Starving, false, false, reserved(7, 1), false},
+		{"kept, starving, the gang's task ends sooner", Starving, false, false, freeSoon, false},
+		{"kept, starved", Starved, false, false, reserved(8, 0), true},
+		{"kept and in use until now, starved", Starved, false, false, recentlyBusy, false},
+		{"asked back", NotStarving, false, false, draining, false},
+		{"asked back, starving", Starving, false, false, draining, false},
+		{"asked back, starved", Starved, false, false, draining, true},
+		{"limit", NotStarving, false, false, quota, false},
+		{"limit, starving", Starving, false, false, quota, false},
+		{"limit, starved", Starved, false, false, quota, true},
+		{"limit, the larger one overdue", Starved, true, false, quota, true},
+		{"limit, a gang", Starved, false, true, quota, true},
+		{"limit, a gang, the larger one overdue", Starved, true, true, quota, false},
 	} {
-		m, team := machineOf("m", 8, 64), &Team{Quota: Resources{CPUs: 30}}
+		m, team := newMachine("m", 8, 64), &Team{Quota: Resources{CPUs: 30}}
 		m.RecentMinFree = m.Total
 		tc.change(m, team)
 		large := &Job{ID: "large", Team: "red", ReadyAt: 1, Gang: true, Tasks: 4, Waiting: 4, Need: Resources{CPUs: 7, MemoryGB: 1}, Overdue: tc.overdue, Rank: 1}
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -11,25 +11,25 @@
 	"lichenstair/internal/core"
 )
 
-// plainPass is the rule as written: each task looks at every machine, and each
+// referenceSchedule is the rule as written: each task looks at every machine, and each
 // time of release is tried in turn.
-func plainPass(now core.Time, machines []*Machine, jobs []*Job, teams map[string]*Team) Result {
-	p := &pass{now: now, machines: machines, open: machines, teams: teams}
+func referenceSchedule(now core.Time, machines []*Machine, jobs []*Job, teams map[string]*Team) Result {
+	p := &pass{now: now, machines: machines, candidates: machines, teams: teams}
 	Sort(jobs)
 	rest := jobs
-	for len(rest) > 0 && p.out.ReservedJob == "" {
-		plainHead(p, rest[0])
+	for len(rest) > 0 && p.result.ReservedJob == "" {
+		referenceHead(p, rest[0])
 		rest = rest[1:]
 	}
-	plainBackfill(p, rest)
-	return p.out
+	referenceBackfill(p, rest)
+	return p.result
 }
 
-// plainBackfill looks at every pair of a job and a machine before each start.
-func plainBackfill(p *pass, jobs []*Job) {
+// referenceBackfill looks at every pair of a job and a machine before each start.
+func referenceBackfill(p *pass, jobs []*Job) {
 	for _, j := range jobs {
-		if j.Gang && p.teamHasRoom(j, j.Waiting) {
-			for _, m := range p.gang(p.machines, j, p.beside(j)) {
+		if j.Gang && p.hasQuota(j, j.Waiting) {
+			for _, m := range p.placeGang(p.machines, j, p.besideReservation(j)) {
 				p.start(j, m)
 			}
 		}
@@ -39,10 +39,10 @@
 		var on *Machine
 		var top rating
 		for _, j := range jobs {
-			if j.Gang || j.Waiting <= 0 || !p.teamHasRoom(j, 1) {
+			if j.Gang || j.Waiting <= 0 || !p.hasQuota(j, 1) {
 				continue
 			}
-			if m, r := p.bestOf(p.machines, j, p.beside(j)); m != nil && (job == nil || r.better(top)) {
+			if m, r := p.bestOf(p.machines, j, p.besideReservation(j)); m != nil && (job == nil || r.better(top)) {
 				job, on, top = j, m, r
 			}
 		}
@@ -53,12 +53,12 @@
 	}
 }
 
-func plainHead(p *pass, j *Job) {
+func referenceHead(p *pass, j *Job) {
 	if j.Gang {
-		if !p.teamHasRoom(j, j.Waiting) {
+		if !p.hasQuota(j, j.Waiting) {
 			return
 		}
-		if picks := p.gang(p.machines, j, p.free); picks != nil {
+		if picks := p.placeGang(p.machines, j, p.free); picks != nil {
 			for _, m := range picks {
 				p.start(j, m)
 			}
@@ -66,7 +66,7 @@
 		}
 	}
 	for !j.Gang && j.Waiting > 0 {
-		if !p.teamHasRoom(j, 1) {
+		if !p.hasQuota(j, 1) {
 			return
 		}
 		m, _ := p.bestOf(p.machines, j, p.free)
@@ -89,14 +89,14 @@
 		free := func(m *Machine) Resources { return m.freeAt(at) }
 		var picks []*Machine
 		if j.Gang {
-			picks = p.gang(p.machines, j, free)
+			picks = p.placeGang(p.machines, j, free)
 		} else if m, _ := p.bestOf(p.machines, j, free); m != nil {
 			picks = []*Machine{m}
 		}
 		if picks != nil {
-			p.out.ReservedJob, p.out.ReservedAt, p.out.ReservedResources = j.ID, at, map[core.MachineID]Resources{}
+			p.result.ReservedJob, p.result.ReservedAt, p.result.ReservedResources = j.ID, at, map[core.MachineID]Resources{}
 			for _, m := range picks {
-				p.out.ReservedResources[m.ID] = p.out.ReservedResources[m.ID].Add(j.Need)
+				p.result.ReservedResources[m.ID] = p.result.ReservedResources[m.ID].Add(j.Need)
 			}
 			return
 		}
@@ -113,7 +113,7 @@
 			r := rand.New(rand.NewPCG(seed, 3))
 			var machines []*Machine
 			for i := range 2 + r.IntN(30) {
-				m := machineOf(fmt.Sprintf("n-%03d", i), []float64{4, 16, 64}[r.IntN(3)], 64)
+				m := newMachine(fmt.Sprintf("n-%03d", i), []float64{4, 16, 64}[r.IntN(3)], 64)
 				m.Zone, m.Spot, m.Unreliable, m.GangReserved = []string{"a", "b"}[r.IntN(2)], r.IntN(2) == 0, r.IntN(15) == 0, r.IntN(6) == 0
 				m.Draining = r.IntN(8) == 0
 				m.MaxTasks = []int{0, 5, 40}[r.IntN(3)]
@@ -149,7 +149,7 @@
 		}
 		m1, j1, t1 := build()
 		m2, j2, t2 := build()
-		got, want := Schedule(0, m1, j1, t1, Policy{}), plainPass(0, m2, j2, t2)
+		got, want := Schedule(0, m1, j1, t1, Policy{}), referenceSchedule(0, m2, j2, t2)
 		if !reflect.DeepEqual(got, want) {
 			t.Fatalf("seed %d:\n%+v\n%+v", seed, got, want)
 		}
--- a/internal/placement/rating.go
+++ b/internal/placement/rating.go
@@ -25,10 +25,10 @@
 }
 
 type rating struct {
-	unreliable bool
-	score      float64
-	mean       float64
-	cold       bool
+	unreliable   bool
+	score        float64
+	mean         float64
+	imageMissing bool
 }
 
 func (a rating) better(b rating) bool {
@@ -40,35 +40,35 @@
 	case a.mean != b.mean:
 		return a.mean > b.mean
 	}
-	return !a.cold && b.cold
+	return !a.imageMissing && b.imageMissing
 }
 
 // rate rates a machine for a job. Scores are rounded, so that sums made in another
 // order count as equal.
 func rate(j *Job, m *Machine) rating {
-	const grid = 1e9
+	const precision = 1e9
 	s, mean := Score(m, j.Need)
-	return rating{m.Unreliable, math.Round(s * grid), math.Round(mean * grid), !m.Images[j.Image]}
+	return rating{m.Unreliable, math.Round(s * precision), math.Round(mean * precision), !m.Images[j.Image]}
 }
 
 // best returns the machine with the best rating for one task of an array.
-func (p *pass) best(j *Job, free freeOf) (*Machine, rating) {
-	return p.bestOf(p.open, j, free)
+func (p *pass) best(j *Job, free freeFunc) (*Machine, rating) {
+	return p.bestOf(p.candidates, j, free)
 }
 
-func (p *pass) bestOf(machines []*Machine, j *Job, free freeOf) (*Machine, rating) {
-	var pick *Machine
-	var top rating
+func (p *pass) bestOf(machines []*Machine, j *Job, free freeFunc) (*Machine, rating) {
+	var best *Machine
+	var bestRating rating
 	for _, m := range machines {
-		if !j.takes(m, free(m)) || !j.AllowsZone(m.Zone, j.TasksByZone) {
+		if !j.canRunOn(m, free(m)) || !j.AllowsZone(m.Zone, j.TasksByZone) {
 			continue
 		}
 		if p.policy.FirstFit {
-			return m, top
+			return m, bestRating
 		}
-		if r := rate(j, m); pick == nil || r.better(top) {
-			pick, top = m, r
+		if r := rate(j, m); best == nil || r.better(bestRating) {
+			best, bestRating = m, r
 		}
 	}
-	return pick, top
+	return best, bestRating
 }
