--- a/internal/capacity/boots_test.go
+++ b/internal/capacity/boots_test.go
@@ -7,36 +7,36 @@
 	"lichenstair/internal/core"
 )
 
-// How late a machine may be follows the boots seen lately, and recovers within minutes.
-func TestBootsAreLearnt(t *testing.T) {
+// The age at which a machine is overdue follows the recent boot times, and recovers within minutes.
+func TestOverdueFollowsRecentBootTimes(t *testing.T) {
 	const usual = 30 * time.Second
 	at := func(s float64) core.Time { return core.Time(s * float64(time.Second)) }
 	var b BootTimes
 	late := PendingMachine{Offer{Type: "small", Zone: "a"}, 70 * time.Second}
 	if !b.Overdue(at(0), late, usual) || b.Overdue(at(0), PendingMachine{late.Offer, 60 * time.Second}, usual) {
-		t.Fatal("at the start, a machine is doubtful at more than twice the usual time")
+		t.Fatal("without samples, a machine is overdue at more than twice the usual time")
 	}
 	for range 6 {
 		b.Record(at(200), "small", 120*time.Second, usual)
 	}
-	// What all of them take is no reason to doubt.
+	// A boot time that all machines need does not make a machine overdue.
 	if b.Overdue(at(200), PendingMachine{late.Offer, 110 * time.Second}, usual) || b.TimedOut(at(200), PendingMachine{late.Offer, 200 * time.Second}, usual) {
-		t.Fatal("doubted, though all take as long")
+		t.Fatal("overdue or timed out, although all machines take as long")
 	}
 	for range 8 {
 		b.Record(at(260), "small", 2*time.Second, usual)
 	}
 	if b.Overdue(at(260), PendingMachine{late.Offer, 60 * time.Second}, usual) {
-		t.Fatal("others come within 2 s, and one that takes its time is doubted")
+		t.Fatal("a slow machine is overdue because others boot within 2 s")
 	}
 	if !b.Overdue(at(700), PendingMachine{late.Offer, 70 * time.Second}, usual) || b.TimedOut(at(700), PendingMachine{late.Offer, 70 * time.Second}, usual) || !b.TimedOut(at(700), PendingMachine{late.Offer, 250 * time.Second}, usual) {
-		t.Fatal("a machine 40 s late is doubtful, one 130 s late is given up")
+		t.Fatal("want a machine 40 s late overdue but not timed out, and one 220 s late timed out")
 	}
 }
 
-// A machine that is long overdue claims nothing of the waiting work, which goes to
-// another; and where several are overdue no more are rented, but elsewhere.
-func TestOverdueMachinesClaimNothing(t *testing.T) {
+// A machine that is long overdue claims none of the waiting work, which goes to another one. Where
+// several machines of an offer are overdue, no more are rented from it, but elsewhere.
+func TestOverdueMachinesAreNotPlannedOn(t *testing.T) {
 	j := gangOf("req-1", 1, 8)
 	late := &Machine{ID: "n-1", Type: "small", Zone: "a", Block: NoBlock}
 	if p := plan([]*Job{j}, []*Machine{late}); len(p.Rent) != 0 || len(p.Assign) != 1 {
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,6 @@
-// Package capacity decides where machines belong and how many there should be:
-// which block a free machine goes to, which machines are asked back, and what
-// is rented and returned. It is pure: the time is handed in.
+// Package capacity decides where machines belong and how many there should be: which block a free
+// machine is assigned to, which machines are drained, and what is rented and returned. It is pure:
+// the time is an argument.
 package capacity
 
 import (
@@ -13,18 +13,18 @@
 	"lichenstair/internal/placement"
 )
 
-// Job is an unfinished job, as far as capacity is concerned.
+// Job is an unfinished job as capacity planning sees it.
 type Job struct {
 	placement.Job
 	Block     int
-	Remaining int
+	Remaining int           // tasks that are not done
 	Running   int           // of these, as far as is known
-	Deadline  core.WallTime // 0: none
-	// ReadySoon: it waits for jobs that run. It claims what is free once all others have, and
-	// is rented for, so that machines are up when it may run; none is given to its block
-	// before.
+	Deadline  core.WallTime // the earliest due time (0: none)
+	// ReadySoon is set while the job waits for jobs that run. It claims what is left once all ready
+	// jobs have claimed, and machines are rented for it, so that they have booted when it may run;
+	// until then none is assigned to its block.
 	ReadySoon bool
-	// HasDependencies: it waited for others, so it was expected before it could run.
+	// HasDependencies is set if the job waited for others, so it was known before it could run.
 	HasDependencies bool
 }
 
@@ -34,20 +34,20 @@
 	Type     string
 	Zone     string
 	Spot     bool
-	Block    int // NoBlock: in the pool
-	Draining bool
-	Ready    bool // it is known to have booted
-	Idle     bool // its holder has nothing on it, as far as is known
-	// BootOverdue: it should long have booted. It claims none of the waiting work, which
-	// goes to others; if it comes, it takes its part.
+	Block    int  // NoBlock: in the pool
+	Draining bool // leaves its block once it is empty
+	Ready    bool // known to have booted
+	Idle     bool // has no tasks, as far as its block's holder knows
+	// BootOverdue is set if the machine should have booted long ago. It claims no waiting work,
+	// which goes to others; once it has booted it is planned on again.
 	BootOverdue bool
 	FreeFor     time.Duration // how long it has been in the pool
 }
 
-// NoBlock stands for the pool.
+// NoBlock is the block number of the pool.
 const NoBlock = -1
 
-// Offer is a kind of machine that can be rented.
+// Offer is a kind of machine that can be rented in a zone.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
@@ -59,12 +59,12 @@
 	Jobs              []*Job
 	Machines          []*Machine
 	Types             map[string]api.MachineType
-	TeamQuota         map[string]float64
+	TeamQuota         map[string]float64 // CPUs
 	GangKinds         GangKinds
-	UnavailableOffers map[Offer]bool // kinds that were refused lately
-	IdleTimeout       time.Duration
-	// Forecast is how much should stay although nobody claims it now, since so
-	// much was wanted lately.
+	UnavailableOffers map[Offer]bool // refused recently, or with stalled boots
+	IdleTimeout       time.Duration  // in the pool, before a machine is returned
+	// Forecast is the demand for which machines are kept ready although no job claims them now,
+	// because as much was needed recently.
 	Forecast Demand
 }
 
@@ -78,25 +78,26 @@
 // Plan is what should be done.
 type Plan struct {
 	Assign map[core.MachineID]int // pool machines to blocks
-	Drain  []core.MachineID       // machines to be asked back from their blocks
+	Drain  []core.MachineID       // to be drained from their blocks
 	Rent   []Rental
 	Return []core.MachineID
-	Demand Demand
+	Demand Demand // of the jobs that are ready now
 }
 
+// machineClaims is a machine and what jobs have claimed of it.
 type machineClaims struct {
 	machine      *Machine
 	free         placement.Resources
-	block        int // for whom it is claimed
+	block        int // of the job that claims it, else its own
 	claimed      bool
 	tasks        int
-	gangCPUs     float64 // CPUs claimed by gangs
-	gangReserved bool    // of a kind that is kept for gangs
+	gangCPUs     float64 // claimed by gangs
+	gangReserved bool    // of a kind that is reserved for gangs
 }
 
-// arrayCPUs is what a machine has for arrays. Large machines that gangs are to take are
-// no room for what may arrive: counted as such, they made up the whole level that
-// is kept ready, and small ones went back just before the next burst.
+// arrayCPUs is what a machine has for arrays. Large machines that gangs are to use are no room for
+// arrays to come: counted as such, they made up the whole level that is kept ready, and small
+// machines were returned just before the next burst.
 func (p *planner) arrayCPUs(r *machineClaims) float64 {
 	return p.input.Types[r.machine.Type].CPUs - r.gangCPUs
 }
@@ -106,13 +107,13 @@
 	machines    []*machineClaims
 	plan        Plan
 	claimedCPUs map[string]float64
-	// onDemandCPUs counts the CPUs of onDemandCPUs machines to be rented for work that
-	// may use spot machines.
+	// onDemandCPUs counts the CPUs of on-demand machines to be rented for work that may use spot
+	// machines.
 	onDemandCPUs float64
 }
 
-// MakePlan makes a plan: the unfinished jobs, oldest first, claim room on the
-// machines; what is left over or missing decides.
+// MakePlan makes a plan. The unfinished jobs claim room on the machines in the order of claimAll;
+// unclaimed machines are returned, and machines are rented for tasks without room.
 func MakePlan(in Input) Plan {
 	p := &planner{input: in, plan: Plan{Assign: map[core.MachineID]int{}}, claimedCPUs: map[string]float64{}, machines: claimableMachines(in)}
 	readySoon := filter(sortForClaims(in.Jobs), func(j *Job) bool { return j.ReadySoon })
@@ -120,7 +121,7 @@
 	unmet := p.claimAll(ready)
 	p.plan.Demand.MissingCPUs = p.missingCPUs(filter(in.Jobs, func(j *Job) bool { return !j.ReadySoon }))
 	for _, u := range unmet {
-		// Nothing is rented for a job that fails wherever it runs.
+		// Nothing is rented for a job that fails on every machine.
 		if u.count > 0 && !u.job.Failing {
 			p.rent(u.job, u.count)
 		}
@@ -131,9 +132,9 @@
 	return p.plan
 }
 
-// claimableMachines lists the machines that can be claimed, the smallest first; of those that are
-// alike, the ones that are up. One that still boots must not be given to a gang while one
-// that is up stands idle.
+// claimableMachines lists the machines that can be claimed, the smallest first, and among equal
+// ones those that have booted. A gang must not get a machine that still boots while one that has
+// booted is idle.
 func claimableMachines(in Input) (rooms []*machineClaims) {
 	for _, m := range in.Machines {
 		t, ok := in.Types[m.Type]
@@ -152,8 +153,8 @@
 	return rooms
 }
 
-// sortForClaims sorts jobs in the order in which they claim: gangs first, then by rank, those with
-// a time, and age.
+// sortForClaims sorts jobs in the order in which they claim room: gangs first, then by rank,
+// time-sensitive jobs first, then by age.
 func sortForClaims(unsorted []*Job) []*Job {
 	jobs := slices.Clone(unsorted)
 	sort.SliceStable(jobs, func(a, b int) bool {
@@ -173,10 +174,10 @@
 	return jobs
 }
 
-// claimAll lets the jobs that may run claim room, and lists what found none: what has not
-// begun for too long, gangs, arrays by rank, and idle-time work. That has what is left over,
-// also in its own block: what it used there was no room for others, and they waited until it
-// ended by itself.
+// claimAll lets the ready jobs claim room, and lists the tasks that found none. The order is:
+// overdue jobs that have not started, gangs, arrays by rank, opportunistic work. Opportunistic work
+// gets what is left, in its own block too: when the machines that it used there did not count as
+// room for others, they waited until it ended by itself.
 func (p *planner) claimAll(jobs []*Job) []unmetTasks {
 	starts := overdueStarts(jobs)
 	jobs = mergeSimilar(jobs)
@@ -189,7 +190,8 @@
 	return append(unmet, p.claimForJobs(filter(jobs, func(j *Job) bool { return j.Opportunistic() }))...)
 }
 
-// moveMachines assigns claimed machines of the pool, and asks those back that another block claims.
+// moveMachines assigns claimed machines of the pool, and drains those of a block that another block
+// claims.
 func (p *planner) moveMachines() {
 	for _, r := range p.machines {
 		switch {
--- a/internal/capacity/guarantee.go
+++ b/internal/capacity/guarantee.go
@@ -2,14 +2,14 @@
 
 import "lichenstair/internal/config"
 
-// Guarantees tells, for unfinished jobs taken the oldest first, which of them fit
-// into what their team is guaranteed together with those before them.
+// Guarantees decides which unfinished jobs, taken the oldest first, fit into the guarantee of their
+// team together with those before them.
 type Guarantees struct {
-	guaranteed map[string]float64
-	wanted     map[string]float64
+	guaranteed map[string]float64 // CPUs by team
+	wanted     map[string]float64 // CPUs of the jobs so far, by team
 }
 
-// NewGuarantees starts with the teams' guarantees and no jobs.
+// NewGuarantees returns the guarantees of the teams without any jobs.
 func NewGuarantees(teams []config.Team) *Guarantees {
 	g := &Guarantees{guaranteed: map[string]float64{}, wanted: map[string]float64{}}
 	for _, t := range teams {
@@ -18,8 +18,8 @@
 	return g
 }
 
-// AddJob adds a team's next job, that wants so many CPUs, and tells whether it
-// fits.
+// AddJob adds a team's next job, which needs so many CPUs, and reports whether it fits into the
+// guarantee. The job counts for later ones even if it does not fit.
 func (g *Guarantees) AddJob(team string, cpus float64) bool {
 	g.wanted[team] += cpus
 	return g.wanted[team] <= g.guaranteed[team]
--- a/internal/capacity/late.go
+++ b/internal/capacity/late.go
@@ -12,31 +12,31 @@
 )
 
 const (
-	// maxDeferral bounds how long a job is deferred for being late: work must not
-	// wait for ever because it could not be in time.
+	// maxDeferral bounds the age up to which a job is deferred for being late: no work may wait for
+	// ever because it could not be in time.
 	maxDeferral = 15 * time.Minute
-	// maxStartWait is how long a job may have waited without a task started before it
-	// goes first: nobody's work should seem forgotten because others hurry. Users
-	// expect the beginning within four minutes; what is left is for the drain.
+	// maxStartWait is how long a job may wait without a started task before it is scheduled first.
+	// Users expect the start within four minutes; the remaining time is for draining a machine.
 	maxStartWait = 150 * time.Second
 )
 
-// Overdue tells whether a job has waited too long without having begun.
+// Overdue reports whether a job has waited too long without having started.
 func Overdue(readyAt, now core.WallTime, begun bool) bool {
 	return !begun && time.Duration(now-readyAt)*time.Millisecond > maxStartWait
 }
 
 const (
-	// starvingAfter is how long a job may wait with nothing running before one of its
-	// tasks may take room that nobody else can use.
+	// starvingAfter is how long a job may wait with nothing running before one of its tasks may use
+	// room that no other job can use.
 	starvingAfter = 45 * time.Second
-	// starvedAfter is when one of its tasks may take any room. Users count 90 s beside a
-	// machine with room; what is left is for a new holder to find its machines.
+	// starvedAfter is how long it may wait before one of its tasks may use any room. Users count 90
+	// s of waiting beside a machine with room; the remaining time is for a new holder to find its
+	// machines.
 	starvedAfter = 70 * time.Second
 )
 
-// StarvationAfter is the starvation of a job that has waited for a time, since it could
-// run or since its last task left its machine, with nothing running.
+// StarvationAfter is the starvation of a job that has waited with nothing running for this long,
+// since it could run or since its last task left its machine.
 func StarvationAfter(waited time.Duration) placement.Starvation {
 	switch {
 	case waited > starvedAfter:
@@ -47,11 +47,11 @@
 	return placement.NotStarving
 }
 
-// DueTimes lists by when an array should be complete, for each of the users' aims on its
-// completion, the one that leaves least time first: those on its deadline, if it has
-// one, else those on the time that jobs of its class may take. A deadline counts from
-// sent, when the job was submitted, all else from at, since when it may run. needed is by
-// when jobs that depend on it want it done (0: any time).
+// DueTimes lists by when an array should be complete, for each objective on its completion, the
+// earliest first: the objectives on its deadline if it has one, else those on the completion time
+// of its class. A deadline counts from submittedAt, when the job was submitted, all else from
+// readyAt, since when it may run. neededBy is by when jobs that depend on it need it done (0: no
+// limit).
 func DueTimes(objectives []config.Objective, spec *api.Job, submittedAt, readyAt, neededBy core.WallTime) (due []core.WallTime) {
 	if spec.Form == api.FormGang {
 		return nil
@@ -82,17 +82,16 @@
 	return due
 }
 
-// TimeSensitive tells whether users have stated by when a job should begin or be complete:
-// by an aim on its class, or by its deadline.
+// TimeSensitive reports whether users have stated by when a job should start or be complete: by an
+// objective for its class, or by its deadline.
 func TimeSensitive(objectives []config.Objective, spec *api.Job) bool {
 	return spec.DeadlineS != nil || slices.ContainsFunc(objectives, func(a config.Objective) bool {
 		return a.Class == spec.Class && (a.Kind == "wait" || a.Kind == "finished")
 	})
 }
 
-// MissesObjectives tells whether a waiting job can no longer meet any of the aims that its
-// users stated for its class, nor its own deadline. Such a job yields to those
-// that can still be in time.
+// MissesObjectives reports whether a waiting job can no longer meet any of the objectives stated
+// for its class, nor its own deadline. Such a job yields to those that can still be in time.
 func MissesObjectives(objectives []config.Objective, spec *api.Job, submittedAt, readyAt, now core.WallTime) bool {
 	age := time.Duration(now-readyAt) * time.Millisecond
 	if age > maxDeferral {
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -9,10 +9,10 @@
 	"lichenstair/internal/placement"
 )
 
-// returnIdle returns machines that have been free for a while, the dearest first,
-// as long as enough stays.
+// returnIdle returns machines that have been in the pool for longer than the idle time-out, the
+// most expensive first, as long as enough remain, and rents machines to be kept ready.
 func (p *planner) returnIdle() {
-	available := struct{ Kept, CPUs float64 }{}
+	available := struct{ GangMachines, CPUs float64 }{}
 	var idle []*machineClaims
 	cost := func(r *machineClaims) float64 {
 		t := p.input.Types[r.machine.Type]
@@ -23,7 +23,7 @@
 	}
 	for _, r := range p.machines {
 		if r.gangReserved {
-			available.Kept++
+			available.GangMachines++
 			if r.claimed {
 				p.plan.Demand.GangMachines++
 			}
@@ -37,13 +37,13 @@
 	sort.SliceStable(idle, func(a, b int) bool { return cost(idle[a]) > cost(idle[b]) })
 	for _, r := range idle {
 		if p.input.GangKinds.Has(MachineKind{r.machine.Type, r.machine.Spot}) {
-			if available.Kept-1 < p.plan.Demand.GangMachines+p.gangStandby(r.machine.Type) {
+			if available.GangMachines-1 < p.plan.Demand.GangMachines+p.gangStandby(r.machine.Type) {
 				continue
 			}
-			available.Kept--
+			available.GangMachines--
 		} else {
 			cpus := p.input.Types[r.machine.Type].CPUs
-			// A level fades but never quite ends: half a machine counts as none.
+			// The forecast decays but never reaches zero: half a machine counts as none.
 			if r.machine.Spot && available.CPUs-cpus < p.input.Forecast.SpotCPUs-cpus/2 {
 				continue
 			}
@@ -52,16 +52,16 @@
 		p.plan.Return = append(p.plan.Return, r.machine.ID)
 	}
 	p.rentSpotStandby(available.CPUs)
-	p.rentGangStandby(available.Kept)
+	p.rentGangStandby(available.GangMachines)
 }
 
-// gangStandby is how many kept machines of a type should be ready beyond those that
-// are wanted now: as many as arriving gangs probably want while one boots.
+// gangStandby is how many gang-reserved machines of a type should be ready beyond those that are
+// needed now: as many as arriving gangs probably need while one boots.
 func (p *planner) gangStandby(typ string) float64 {
 	return math.Round(p.input.Forecast.GangRate * (1.2*p.input.Types[typ].BootS + 3))
 }
 
-// rentGangStandby rents kept machines, the cheapest, so that enough are ready.
+// rentGangStandby rents the cheapest gang-reserved machines, so that enough are ready.
 func (p *planner) rentGangStandby(available float64) {
 	var best Offer
 	cost := math.Inf(1)
@@ -86,8 +86,7 @@
 	}
 }
 
-// rentSpotStandby rents spot machines, the cheapest by CPU, up to the level that is
-// to be kept ready.
+// rentSpotStandby rents the spot machines that are cheapest by CPU, up to the forecast.
 func (p *planner) rentSpotStandby(available float64) {
 	var best Offer
 	cost := math.Inf(1)
@@ -107,20 +106,20 @@
 	p.plan.Rent = append(p.plan.Rent, Rental{best, NoBlock, min(n, 10)})
 }
 
-// scarcityFactor is how many times more than what is there must be wanted before
-// ordinary machines are rented freely for work that may use spot machines.
+// scarcityFactor is how many times the available CPUs must be in demand before on-demand machines
+// are rented without limit for work that may use spot machines.
 const scarcityFactor = 3
 
-// opportunisticShare is the part of work without a time for which ordinary machines may be
-// rented, one over this.
+// opportunisticShare limits the on-demand machines for work that is not time-sensitive: they may be
+// rented for one in opportunisticShare of its tasks.
 const opportunisticShare = 8
 
-// onDemandBudget tells how many CPUs of ordinary machines may be rented for a job.
-// For work that may use spot machines they cost about three times as much, and
-// what waits for those mostly is done before one has booted: unless hardly
-// anything is there, they are rented only as far as CPUs have been missing for a
-// while to be in time. Work within a guarantee gets what it needs: users count on it at
-// once, and steps of pipelines waited for spot machines that nobody had left.
+// onDemandBudget returns how many CPUs of on-demand machines may be rented for a job. For work that
+// may use spot machines they cost about three times as much, and the tasks that wait for them are
+// mostly done before one has booted. Therefore, unless hardly any CPUs are available, they are
+// rented only as far as CPUs have been missing for a while for arrays to be complete in time. Work
+// within a guarantee gets what it needs: users count on it at once, and pipeline steps waited for
+// spot machines that were not to be had.
 func (p *planner) onDemandBudget(j *Job) float64 {
 	if j.Gang || !j.Spot || j.Guaranteed {
 		return math.Inf(1)
@@ -132,8 +131,8 @@
 		}
 	}
 	if !j.TimeSensitive {
-		// Nobody waits for it: it takes what is idle and what is cheap. Only where
-		// that is next to nothing it gets a little of its own, so that it is served.
+		// No user waits for the job: it uses idle and cheap machines. Only where these have next to
+		// no CPUs it gets a few on-demand machines, so that it is served at all.
 		return float64(j.Remaining)*j.Need.CPUs/opportunisticShare - available - p.onDemandCPUs
 	}
 	if p.plan.Demand.SpotCPUs > scarcityFactor*available {
@@ -142,8 +141,8 @@
 	return p.input.Forecast.MissingCPUs - p.onDemandCPUs
 }
 
-// missingCPUs estimates how many CPUs more would bring arrays in time that cannot be
-// with what is there, though their teams' limits would let them.
+// missingCPUs estimates how many more CPUs would bring those arrays in time that cannot be with the
+// available machines although their teams' quotas would allow it.
 func (p *planner) missingCPUs(jobs []*Job) (cpus float64) {
 	byTeam := map[string][]*placement.Job{}
 	for _, j := range jobs {
@@ -169,8 +168,8 @@
 		}
 	}
 	for _, j := range jobs {
-		// What runs for nobody in particular, for minutes, is no room for those who
-		// have a time: an array stated to be done in 400 s waited 280 behind it.
+		// CPUs that opportunistic work uses for minutes are no room for time-sensitive jobs: an
+		// array with a target of 400 s waited 280 s behind it.
 		if j.Opportunistic() && !j.Gang {
 			available -= float64(j.Running) * j.Need.CPUs
 		}
@@ -185,8 +184,8 @@
 			case j.MissedDueTimes > 0:
 				cpus += j.Timing.Work / left
 			default:
-				// What those of a higher rank take is not there for others, however
-				// much time all of them have.
+				// CPUs that jobs of a higher rank use are not available to others, however much
+				// time all of them have.
 				available -= min(j.Timing.Work/left/usableTimeShare, float64(j.Tasks)*j.Need.CPUs)
 			}
 		}
@@ -194,14 +193,14 @@
 	return cpus
 }
 
-// rentalOption is a kind of machine that could be rented for a job.
+// rentalOption is an offer that could be rented for a job.
 type rentalOption struct {
 	offer           Offer
-	tasksPerMachine int     // tasks that a machine takes
-	costPerTask     float64 // of a task, an hour
+	tasksPerMachine int     // of the job
+	costPerTask     float64 // per hour
 }
 
-// cheaperThan tells whether a choice is cheaper than another; of equal ones the first by name is.
+// cheaperThan reports whether an option costs less than another; equal ones are ordered by name.
 func (c rentalOption) cheaperThan(than rentalOption) bool {
 	const same = 1e-9
 	if c.costPerTask < than.costPerTask-same {
@@ -210,8 +209,8 @@
 	return c.costPerTask < than.costPerTask+same && c.offer.Type+c.offer.Zone < than.offer.Type+than.offer.Zone
 }
 
-// rent adds the cheapest machines that take n tasks of a job, and claims them. What has to
-// be spread goes to as many zones as it takes.
+// rent adds the cheapest machines that take n tasks of a job to the plan, and claims them. For a
+// job whose tasks must be spread it rents in as many zones as needed.
 func (p *planner) rent(j *Job, n int) {
 	onDemand := p.onDemandBudget(j)
 	best, ok := p.cheapest(j, n, onDemand)
@@ -236,16 +235,16 @@
 	p.addRental(Rental{best.offer, j.Block, count})
 	left := n - p.claim(j, n, func(r *machineClaims) bool { return r.block == j.Block })
 	if j.SpreadZones && left > 0 && left < n {
-		p.rent(j, left) // the rest has to go to another zone
+		p.rent(j, left) // the remaining tasks have to go to another zone
 	}
 }
 
-// maxRental bounds the machines of one rental: more can follow with the next plan, when it
-// is known what the cloud has.
+// maxRental bounds the machines of one rental. The next plan can rent more, once it is known what
+// the cloud has.
 const maxRental = 10
 
-// cheapest finds the kind of machine that takes up to n tasks of a job at the least cost;
-// ordinary is how many CPUs of ordinary machines may be rented for it.
+// cheapest finds the offer that takes up to n tasks of a job at the lowest cost per task. onDemand
+// is how many CPUs of on-demand machines may be rented for it.
 func (p *planner) cheapest(j *Job, n int, onDemand float64) (best rentalOption, found bool) {
 	for _, name := range core.SortedKeys(p.input.Types) {
 		t := p.input.Types[name]
@@ -273,7 +272,7 @@
 	return best, found
 }
 
-// tasksThatFit is how many tasks of a need a room takes, most at the most.
+// tasksThatFit returns how many tasks of a need fit into a room, up to most.
 func tasksThatFit(need, room placement.Resources, most int) (n int) {
 	for n < most && need.Fits(room) {
 		room = room.Sub(need)
@@ -282,12 +281,13 @@
 	return n
 }
 
-// rentable tells whether machines of a kind can be had and suit a job.
+// rentable reports whether an offer is available and suits a job.
 func (p *planner) rentable(j *Job, o Offer) bool {
 	return !p.input.UnavailableOffers[o] && !p.reservedFrom(j, o.Type, o.Spot) && j.Allows(o.Type, o.Zone, o.Spot) && j.AllowsZone(o.Zone, j.TasksByZone)
 }
 
-// addRental adds machines to a rental of the same kind for the same block, if there is one.
+// addRental adds machines to the rental of the same offer for the same block, if there is one, else
+// adds a rental.
 func (p *planner) addRental(rental Rental) {
 	for i, r := range p.plan.Rent {
 		if r.Offer == rental.Offer && r.Block == rental.Block {
--- a/internal/capacity/shapes.go
+++ b/internal/capacity/shapes.go
@@ -16,12 +16,13 @@
 	Spot  bool
 }
 
-// GangShapes remembers what kinds of gangs have come lately, so that machines that
-// alone can take them are not filled with what fits elsewhere.
+// GangShapes remembers the shapes of gangs that arrived recently, so that machines which alone can
+// take them are not filled with work that fits elsewhere.
 type GangShapes struct {
 	seen map[GangShape]observedGang
 }
 
+// observedGang is the last gang of a shape.
 type observedGang struct {
 	at    core.Time
 	job   placement.Job
@@ -33,7 +34,8 @@
 	maxShapes      = 64
 )
 
-// Observe remembers a gang.
+// Observe remembers the shape of a job that is a gang. New shapes are ignored while maxShapes are
+// known.
 func (s *GangShapes) Observe(now core.Time, spec *api.Job) {
 	if spec.Form != api.FormGang {
 		return
@@ -51,34 +53,35 @@
 	s.seen[k] = observedGang{now, placement.NewJob("", 0, spec), spec.Class}
 }
 
-// GangMachinesOnly tells whether a job's tasks fit only on kinds that are kept.
-func GangMachinesOnly(j *placement.Job, types map[string]api.MachineType, kept GangKinds) bool {
+// GangMachinesOnly reports whether a job's tasks fit only on kinds of machine that are reserved for
+// gangs.
+func GangMachinesOnly(j *placement.Job, types map[string]api.MachineType, reserved GangKinds) bool {
 	for name, t := range types {
 		if j.Need.Fits(placement.CapacityOf(t)) && j.Allows(name, j.Zone, false) &&
-			(!kept.Has(MachineKind{name, false}) || j.Spot && !kept.Has(MachineKind{name, true})) {
+			(!reserved.Has(MachineKind{name, false}) || j.Spot && !reserved.Has(MachineKind{name, true})) {
 			return false
 		}
 	}
 	return true
 }
 
-// MachineKind is a type of machine, spot or ordinary.
+// MachineKind is a machine type, as spot or on-demand machine.
 type MachineKind struct {
 	Type string
 	Spot bool
 }
 
-// GangKinds maps each kind of machine that is kept for gangs to the largest need of a
-// task of those gangs.
+// GangKinds maps each kind of machine that is reserved for gangs to the largest need of a task of
+// those gangs.
 type GangKinds map[MachineKind]placement.Resources
 
-// Has tells whether a kind is kept for gangs.
+// Has reports whether a kind is reserved for gangs.
 func (k GangKinds) Has(kind MachineKind) bool {
 	_, ok := k[kind]
 	return ok
 }
 
-// Add notes that a gang wants machines of a type, spot machines too if it may use them.
+// Add reserves a type for a gang, also as spot machine if the gang may use those.
 func (k GangKinds) Add(typ string, gang *placement.Job) {
 	kinds := []MachineKind{{typ, false}}
 	if gang.Spot {
@@ -90,9 +93,8 @@
 	}
 }
 
-// GangKinds lists the kinds of machine that are kept for gangs: a gang that came
-// lately fits there, does not fit on some other type that arrays can use, and
-// cannot wait until one boots.
+// GangKinds lists the kinds of machine that are reserved for gangs: a recent gang fits there, does
+// not fit on some other type that arrays can use, and cannot wait until a machine boots.
 func (s *GangShapes) GangKinds(now core.Time, objectives []config.Objective, types map[string]api.MachineType) GangKinds {
 	out := GangKinds{}
 	for k, seen := range s.seen {
@@ -110,9 +112,9 @@
 	return out
 }
 
-// RestrictedTypes lists the types on which a gang's tasks fit, if they do not fit on all. For a
-// gang that can never be placed nothing is scarce: it kept arrays off machines that it
-// could not use either.
+// RestrictedTypes lists the types on which a gang's tasks fit, if they do not fit on all types. It
+// is empty for a gang that can never be placed: such a gang kept arrays off machines that it could
+// not use either.
 func RestrictedTypes(j *placement.Job, types map[string]api.MachineType) (fit []string) {
 	if !j.Placeable(types) {
 		return nil
@@ -128,9 +130,9 @@
 	return fit
 }
 
-// toleratesWait tells whether every aim on the start of a class, of which there is at
-// least one, leaves a time. Twice the usual boot time covers the slower boots,
-// the rental and the image.
+// toleratesWait reports whether every objective on the start of a class, of which there is at least
+// one, allows a wait of d. Callers pass twice the usual boot time, which covers slower boots, the
+// rental and fetching the image.
 func toleratesWait(objectives []config.Objective, class string, d time.Duration) bool {
 	stated := false
 	for _, a := range objectives {
--- a/internal/capacity/share.go
+++ b/internal/capacity/share.go
@@ -9,9 +9,8 @@
 	"lichenstair/internal/placement"
 )
 
-// overdueStarts lists the beginnings of jobs that have not begun for too long: one task each,
-// or the whole gang. Their block may have no machine at all. What remains of them
-// claims in its turn.
+// overdueStarts splits off the first part of each overdue job: one task, or the whole gang. The
+// block of such a job may have no machine at all. The rest of the job claims in the usual order.
 func overdueStarts(jobs []*Job) (out []*Job) {
 	for _, j := range jobs {
 		if !j.Overdue || j.Failing || j.Remaining == 0 {
@@ -28,7 +27,7 @@
 	return out
 }
 
-// filter lists the jobs that suit, in their order.
+// filter returns the jobs that match, in their order.
 func filter(jobs []*Job, match func(*Job) bool) (out []*Job) {
 	for _, j := range jobs {
 		if match(j) {
@@ -38,9 +37,9 @@
 	return out
 }
 
-// claimForRunning claims what idle-time tasks that run have in their blocks. Work of a higher rank
-// has claimed before, and may have them stopped; other work cannot, so what they have
-// is no room for it.
+// claimForRunning claims what running opportunistic tasks use in their blocks. Work of a higher
+// rank has claimed before and may preempt them. Other work cannot, so what they use is no room for
+// it.
 func (p *planner) claimForRunning(jobs []*Job) {
 	for _, j := range jobs {
 		n := min(j.Running, j.Remaining)
@@ -54,8 +53,8 @@
 	}
 }
 
-// claimForReadySoon claims room for jobs that may run soon, in their blocks and in the pool, and rents
-// what is missing: a step of a pipeline takes less time than a machine takes to boot.
+// claimForReadySoon claims room for jobs that may run soon, in their blocks and in the pool, and
+// rents what is missing: a step of a pipeline takes less time than a machine takes to boot.
 func (p *planner) claimForReadySoon(jobs []*Job) {
 	for _, j := range jobs {
 		if j.Opportunistic() || j.Failing {
@@ -82,8 +81,8 @@
 	count int
 }
 
-// claimForJobs lets jobs claim room in their order, first in their blocks, then elsewhere,
-// and lists what is left over.
+// claimForJobs lets jobs claim room in their order, first in their blocks, then elsewhere, and
+// lists the tasks that found none.
 func (p *planner) claimForJobs(jobs []*Job) (unmet []unmetTasks) {
 	for _, j := range jobs {
 		j.GangMachinesOnly = GangMachinesOnly(&j.Job, p.input.Types, p.input.GangKinds)
@@ -95,7 +94,7 @@
 			continue
 		}
 		p.claimedCPUs[j.Team] += float64(n) * j.Need.CPUs
-		// Work that nobody waits for is no reason to keep machines ready for more.
+		// Opportunistic work is no reason to keep machines ready for more of it.
 		if !j.Gang && j.Spot && !j.Opportunistic() && !j.Failing {
 			p.plan.Demand.SpotCPUs += float64(n) * j.Need.CPUs
 		}
@@ -129,11 +128,11 @@
 	return unmet
 }
 
-// mergeSimilar puts arrays that stand together in the line and differ in nothing that
-// matters here into one: of thousands of jobs of one task each, each claimed its room
-// by looking at every machine.
+// mergeSimilar merges neighbouring arrays that differ in nothing that matters here. Without it each
+// of thousands of single-task jobs claimed its room by examining every machine.
 func mergeSimilar(jobs []*Job) (out []*Job) {
-	// What may be late, or is a single task, claims all that remains of it.
+	// An array without a deadline, within a guarantee or of a single task claims all of its
+	// remaining tasks.
 	whole := func(j *Job) bool { return j.Deadline == 0 || j.Guaranteed || j.Remaining == 1 }
 	same := func(a, b *Job) bool {
 		return !a.Gang && !b.Gang && a.Block == b.Block && a.Team == b.Team && a.Rank == b.Rank && a.Need == b.Need && a.Spot == b.Spot && a.Zone == b.Zone &&
@@ -153,12 +152,12 @@
 	return out
 }
 
-// wantedTasks tells how many tasks of a job should run at the same time.
+// wantedTasks returns how many tasks of a job should run at the same time.
 func (p *planner) wantedTasks(j *Job) int {
 	n := j.Remaining
 	if j.Gang {
 		if j.SpreadZones && j.Tasks > 1 && p.countZones(j) < 2 {
-			return 0 // no machine makes it fit
+			return 0 // more machines would not make it fit
 		}
 		if p.claimedCPUs[j.Team]+float64(n)*j.Need.CPUs > p.input.TeamQuota[j.Team]+1e-6 {
 			return 0
@@ -171,11 +170,11 @@
 	return min(n, int((p.input.TeamQuota[j.Team]-p.claimedCPUs[j.Team]+1e-6)/j.Need.CPUs))
 }
 
-// usableTimeShare is the part of the time left in which arrays are to be complete.
+// usableTimeShare is the part of the remaining time in which arrays should be complete.
 const usableTimeShare = 0.85
 
-// Concurrency is how many of an array's tasks should run at a time to be complete with some
-// of the time left; all, where there is too little.
+// Concurrency is how many of an array's tasks should run at a time so that it is complete with some
+// of the time left; all of them if there is too little time.
 func Concurrency(tasks int, estimate, left time.Duration) int {
 	waves := math.Floor(left.Seconds() * usableTimeShare / max(estimate.Seconds(), 1))
 	if waves < 1 {
@@ -184,7 +183,7 @@
 	return int(math.Ceil(float64(tasks) / waves))
 }
 
-// countZones counts the countZones in which a job's tasks could be.
+// countZones counts the zones in which a job's tasks could run.
 func (p *planner) countZones(j *Job) int {
 	zones := map[string]bool{}
 	for name, t := range p.input.Types {
@@ -197,8 +196,8 @@
 	return len(zones)
 }
 
-// chooseZone chooses where all tasks of a job should be: where the machines of its
-// block take most of them, then where most could be had.
+// chooseZone chooses the zone for a job whose tasks must be in one zone: where the machines of its
+// block take most of them, then where most fit on all claimable machines.
 func (p *planner) chooseZone(j *Job, n int) (best string) {
 	type count struct{ own, all int }
 	counts := map[string]count{}
@@ -223,12 +222,13 @@
 	return best
 }
 
-// reservedFrom tells whether a kind of machine is kept from an array for gangs.
+// reservedFrom reports whether a job is an array that must not use a kind of machine because it is
+// reserved for gangs.
 func (p *planner) reservedFrom(j *Job, typ string, spot bool) bool {
 	return !j.Gang && p.input.GangKinds.Has(MachineKind{typ, spot}) && !j.GangMachinesOnly
 }
 
-// claim takes room for up to n tasks on machines that suit, and tells how many.
+// claim claims room for up to n tasks on machines that match, and returns for how many.
 func (p *planner) claim(j *Job, n int, match func(*machineClaims) bool) int {
 	got := 0
 	for _, r := range p.machines {
--- a/internal/capacity/trend.go
+++ b/internal/capacity/trend.go
@@ -9,64 +9,64 @@
 	"lichenstair/internal/core"
 )
 
-// Demand is an amount of capacity.
+// Demand is an amount of capacity, needed now or forecast.
 type Demand struct {
-	GangMachines float64 // for gangs, in machines of the kinds kept for them
-	SpotCPUs     float64 // CPUs for arrays that may use spot machines
-	// GangRate is how many such machines arriving gangs want, in a second.
+	GangMachines float64 // of the kinds reserved for gangs
+	SpotCPUs     float64 // for arrays that may use spot machines
+	// GangRate is how many gang-reserved machines arriving gangs need per second.
 	GangRate float64
 	// MissingCPUs is how many more CPUs would have brought arrays in time.
 	MissingCPUs float64
 }
 
-// DemandTrend is what was wanted lately: for gangs the rate at which they come, for spot
-// machines, which cost little to keep, a mean over a longer time.
+// DemandTrend tracks recent demand: for gangs the rate of arrivals; for spot machines, which cost
+// little to keep, a mean over a longer time.
 type DemandTrend struct {
-	spotSum     float64
-	spotWeight  float64
-	missingCPUs float64
+	spotSum     float64 // decayed sum of the spot CPUs in demand
+	spotWeight  float64 // weight of that sum
+	missingCPUs float64 // decayed mean
 	at          core.Time
-	// guaranteedArrival is what an arriving array wants within its team's guarantee,
-	// on the average over those that come; 0 for those beyond it.
+	// guaranteedArrival is the CPUs that an arriving array needs within its team's guarantee, on
+	// average; arrays beyond the guarantee count as 0.
 	guaranteedArrival float64
-	lastArrival       core.Time     // the last one
-	arrivalGap        time.Duration // between arrivals, on the average
-	seen              map[core.JobID]bool
-	gangRate          float64   // machines that arriving gangs want, in a second
-	lastGang          core.Time // the last gang
+	lastArrival       core.Time           // of an array that may use spot machines
+	arrivalGap        time.Duration       // between such arrivals, on average
+	seen              map[core.JobID]bool // jobs of the last call of ObserveArrivals
+	gangRate          float64             // machines that arriving gangs need, per second
+	lastGang          core.Time           // when the last gang arrived
 }
 
 const (
-	// spotWindow is how far the mean looks back.
+	// spotWindow is the time constant of the mean of spot CPUs.
 	spotWindow = 180 * time.Second
-	// gangRateWindow is how far the rate of gangs looks back.
+	// gangRateWindow is the time constant of the rate of gangs.
 	gangRateWindow = 120 * time.Second
 	// shortageWindow is how long a shortage must last to count.
 	shortageWindow = 60 * time.Second
-	// headroom is how much of an average arrival within a guarantee is kept
-	// ready on spot machines beyond the mean (tried: 1.5, 3, 5, 6; docs/results.md).
+	// headroom is how many average arrivals within a guarantee are kept ready on spot machines
+	// beyond the mean. docs/results.md compares 1.5, 3, 5 and 6.
 	headroom = 5.0
-	// arrivalWeight is the weight of the newest arrival in that average.
+	// arrivalWeight is the weight of the newest arrival in the averages over arrivals.
 	arrivalWeight = 0.1
-	// An arrival that is quietGaps times overdue, and by at least quietTime,
-	// probably does not come: what was wanted lately is no guide any more.
+	// An arrival that is overdue by quietGaps times the average gap, and by at least quietTime,
+	// probably does not come: recent demand then no longer predicts the future.
 	quietGaps = 6
 	quietTime = 15 * time.Second
-	// quietDecayTime is how fast the levels go down then.
+	// quietDecayTime is the time constant with which the forecast decays then.
 	quietDecayTime = 10 * time.Second
 )
 
-// ObserveArrivals takes in the unfinished jobs: those seen for the first time count.
-// Of gangs, those for which machines are kept do.
-func (t *DemandTrend) ObserveArrivals(now core.Time, jobs []*Job, kept GangKinds, types map[string]api.MachineType) {
+// ObserveArrivals takes in the unfinished jobs. Those seen for the first time count as arrivals; of
+// gangs, only those for which machines are reserved.
+func (t *DemandTrend) ObserveArrivals(now core.Time, jobs []*Job, reserved GangKinds, types map[string]api.MachineType) {
 	seen := map[core.JobID]bool{}
 	last := t.lastArrival
 	for _, j := range jobs {
 		seen[j.ID] = true
 		if t.seen[j.ID] || j.HasDependencies {
-			continue // what was announced tells nothing of what may still arrive unannounced
+			continue // known in advance, so it does not predict arrivals that are not
 		}
-		if j.Gang && slices.ContainsFunc(RestrictedTypes(&j.Job, types), func(name string) bool { return kept.Has(MachineKind{name, false}) }) {
+		if j.Gang && slices.ContainsFunc(RestrictedTypes(&j.Job, types), func(name string) bool { return reserved.Has(MachineKind{name, false}) }) {
 			t.gangRate += float64(j.Tasks) / gangRateWindow.Seconds()
 			t.lastGang = now
 		}
@@ -86,12 +86,12 @@
 	}
 }
 
-// arrivalsEnded tells whether arrivals seem to have ended.
+// arrivalsEnded reports whether arrivals seem to have ended.
 func (t *DemandTrend) arrivalsEnded(now core.Time) bool {
 	return now.Sub(t.lastArrival) > max(quietGaps*t.arrivalGap, quietTime)
 }
 
-// Observe takes in what is wanted now.
+// Observe takes in the present demand.
 func (t *DemandTrend) Observe(now core.Time, want Demand) {
 	passed := now.Sub(t.at).Seconds()
 	t.at = now
@@ -111,7 +111,7 @@
 	}
 }
 
-// Forecast tells how much to keep.
+// Forecast returns the demand for which machines should be kept ready.
 func (t *DemandTrend) Forecast() Demand {
 	l := Demand{GangRate: t.gangRate, MissingCPUs: t.missingCPUs}
 	if t.spotWeight > 0 {
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -4,8 +4,8 @@
 	"strings"
 )
 
-// besideReservation returns what a later job may use of a machine without delaying the
-// reservation: all that is free if it ends in time, else what the head leaves.
+// besideReservation returns what a later job may use of a machine without delaying the reservation:
+// all that is free if the job ends before the reserved start, else what the reservation leaves.
 func (p *pass) besideReservation(j *Job) freeFunc {
 	return func(m *Machine) Resources {
 		free := m.Free()
@@ -18,7 +18,8 @@
 	}
 }
 
-// backfill starts later jobs beside the reservation, best pair first.
+// backfill starts later jobs beside the reservation: gangs in their order, then arrays by the best
+// pair of task and machine.
 func (p *pass) backfill(jobs []*Job) {
 	for _, j := range jobs {
 		if j.Gang && p.hasQuota(j, j.Waiting) {
@@ -51,15 +52,15 @@
 			best.jobs, best.positions = best.jobs[1:], best.positions[1:]
 		}
 		for _, g := range groups {
-			// A start changes its machine for all; an option on another machine
-			// stands unless this one has now become better.
+			// A start changes its machine for all groups. A choice of another machine stands unless
+			// this machine has become better.
 			switch {
 			case g == best || g.machine == m:
 				g.stale = true
 			case g.machine != nil:
 				j := g.jobs[0]
 				if j.canRunOn(m, p.besideReservation(j)(m)) && j.AllowsZone(m.Zone, j.TasksByZone) {
-					// Equal ones are taken in the order of the machines, as a full look does.
+					// Equal ratings are decided by the order of the machines, as in a full search.
 					if r := rate(j, m); r.better(g.rating) || !g.rating.better(r) && m.ID < g.machine.ID {
 						g.machine, g.rating = m, r
 					}
@@ -69,28 +70,28 @@
 	}
 }
 
-// jobGroup is arrays whose tasks could take the same machines and rate them alike, in
-// their order. Thousands of jobs of one task each are mostly one jobGroup; looked at one
-// by one, each start made all of them look for their machine anew: 10 ms a pass with
-// 2,000 of them, all that a sixteenth of a core has.
+// jobGroup is a group of arrays, in queue order, whose tasks can use the same machines and rate
+// them alike. Thousands of single-task jobs mostly form one group. When each was examined by
+// itself, every start made all of them search for a machine again: 10 ms a pass with 2,000 jobs,
+// all the CPU time that a controller with a sixteenth of a core has.
 type jobGroup struct {
 	jobs      []*Job
-	positions []int // of the jobs in the line
+	positions []int // of the jobs in the queue
 	machine   *Machine
 	rating    rating
-	stale     bool
+	stale     bool // the machine has to be searched for again
 }
 
-// groupKey is what makes jobs alike to machines. Allowed types are joined.
+// groupKey is what jobs of a group have in common. types holds the allowed types, joined.
 type groupKey struct {
 	team, image, zone, types           string
 	need                               Resources
-	spot, gangMachinesOnly, endsInTime bool
+	spot, gangMachinesOnly, endsInTime bool // endsInTime: before the reserved start
 	starvation                         Starvation
-	unique                             int // set for jobs that are like no others
+	unique                             int // set for jobs that share a group with no other
 }
 
-// groupArrays sorts waiting arrays by kind, the first in line first.
+// groupArrays sorts waiting arrays into groups, in the order of their first jobs.
 func (p *pass) groupArrays(jobs []*Job) (out []*jobGroup) {
 	byKey := map[groupKey]*jobGroup{}
 	for i, j := range jobs {
@@ -115,7 +116,7 @@
 	return out
 }
 
-// findMachine finds the best machine for a kind's next task.
+// findMachine finds the best machine for a group's next task.
 func (p *pass) findMachine(g *jobGroup) {
 	g.machine, g.rating, g.stale = nil, rating{}, false
 	if len(g.jobs) > 0 && p.hasQuota(g.jobs[0], 1) {
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -9,8 +9,8 @@
 	"lichenstair/internal/core"
 )
 
-// BenchmarkPass plans a block of a grown deployment: 88 machines of three kinds,
-// ten arrays of up to 900 tasks, most of which have to wait.
+// BenchmarkPass schedules a block of a large deployment: 88 machines of three sizes, ten arrays of
+// up to 900 tasks, most of which have to wait.
 func BenchmarkPass(b *testing.B) {
 	build := func() ([]*Machine, []*Job, map[string]*Team) {
 		r := rand.New(rand.NewPCG(1, 1))
@@ -25,8 +25,8 @@
 	}
 }
 
-// BenchmarkRecovered plans a block of a fleet that has just been recovered: 470
-// machines, empty or nearly full, and forty arrays with 15,000 waiting tasks.
+// BenchmarkRecovered schedules a block of a fleet that has just been recovered: 470 machines, empty
+// or nearly full, and forty arrays with 15,000 waiting tasks.
 func BenchmarkRecovered(b *testing.B) {
 	for _, c := range []struct {
 		name string
@@ -46,7 +46,7 @@
 	}
 }
 
-// benchMachines makes machines of three kinds of which a share is used.
+// benchMachines makes n machines of three sizes of which the share used is booked.
 func benchMachines(r *rand.Rand, n int, used float64) (machines []*Machine) {
 	one := Resources{CPUs: 1, MemoryGB: 2}
 	for i := range n {
@@ -61,7 +61,7 @@
 	return machines
 }
 
-// benchArrays makes arrays with 50 waiting tasks and up to so many more.
+// benchArrays makes n arrays with 50 waiting tasks and up to more additional ones.
 func benchArrays(r *rand.Rand, n, more int) (jobs []*Job) {
 	for i := range n {
 		tasks := 50 + r.IntN(more)
@@ -70,8 +70,8 @@
 	return jobs
 }
 
-// BenchmarkSingleTaskJobs plans a block into which thousands of jobs of one task each have
-// come at once, with little room left.
+// BenchmarkSingleTaskJobs schedules a block that has just received thousands of single-task jobs
+// while little room is left.
 func BenchmarkSingleTaskJobs(b *testing.B) {
 	for b.Loop() {
 		b.StopTimer()
--- a/internal/placement/defer.go
+++ b/internal/placement/defer.go
@@ -8,25 +8,24 @@
 	"lichenstair/internal/core"
 )
 
-// Timing is what is known of an array's time: by when it should be complete, for
-// the aim that leaves least time first, and the work that is left.
+// Timing holds the due times of an array and its remaining work.
 type Timing struct {
-	Due  []core.WallTime
-	Work float64 // CPU seconds
+	Due  []core.WallTime // by when it should be complete, for each objective, the earliest first
+	Work float64         // CPU seconds
 }
 
-// fetchTime is added to what the last task of a job still needs.
+// fetchTime is added to the run time of a job's last task, for fetching its image.
 const fetchTime = 3 * time.Second
 
-// Defer decides which of a team's arrays cannot all be complete in time with
-// the CPUs that the team can use, and marks those that are deferred. Serving them
-// all by age would make each of them a little late; instead as many as possible
-// are in time, and those with the most work give way (the rule of Moore and
-// Hodgson for the number of late jobs). A job that cannot meet its first time
-// is tried with the next, after those that meet theirs. It only ever changes
-// the order: whoever is deferred takes what the others leave.
+// Defer decides which of a team's arrays cannot all be complete in time with the CPUs that the team
+// can use, and marks those that are deferred. Serving all of them by age would make each of them a
+// little late. Instead as many as possible are in time, and those with the most work are deferred
+// (the algorithm of Moore and Hodgson, which minimizes the number of late jobs). A job that cannot
+// meet its first due time is tried with its next, after the jobs that meet theirs. Only the order
+// changes: deferred jobs use what the others leave.
 //
-// cpus is what the team can use, and running the work of tasks that already run.
+// cpus is the number of CPUs that the team can use, and runningWork the remaining work of its
+// running tasks in CPU seconds.
 func Defer(now core.WallTime, cpus, runningWork float64, jobs []*Job) {
 	remaining := jobs
 	onTime := []*Job{}
@@ -47,7 +46,7 @@
 		for _, j := range candidates {
 			secondsLeft := float64(j.Timing.Due[stage]-now) / 1000
 			if secondsLeft < (j.Estimate + fetchTime).Seconds() {
-				deferred = append(deferred, j) // too late whatever is done
+				deferred = append(deferred, j) // cannot be in time even if it starts now
 				continue
 			}
 			heap.Push(&accepted, j)
--- a/internal/placement/defer_test.go
+++ b/internal/placement/defer_test.go
@@ -8,9 +8,9 @@
 	"lichenstair/internal/core"
 )
 
-// As many jobs as possible must be in time: the choice is compared with every
-// subset of made-up jobs. By age alone a burst made nearly all of them late.
-func TestDeferKeepsAsManyAsCanBe(t *testing.T) {
+// Defer must keep as many jobs in time as possible: its choice is compared with every subset of
+// random jobs. Served by age alone, a burst made nearly all jobs late.
+func TestDeferMaximizesJobsInTime(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 5))
 		cpus := float64(1 + r.IntN(20))
@@ -57,9 +57,9 @@
 	}
 }
 
-// Whoever has waited long without having begun goes first, however late it is:
-// the largest jobs was deferred behind a stream of small ones for 15 minutes.
-func TestOverdueGoesFirst(t *testing.T) {
+// A job that has waited too long without a start is scheduled first within its rank, however late
+// it is. Otherwise the largest job was deferred behind a stream of small ones for 15 minutes.
+func TestOverdueJobIsFirstInItsRank(t *testing.T) {
 	large := &Job{ID: "large", ReadyAt: 5, MissedDueTimes: 2, Overdue: true}
 	jobs := []*Job{{ID: "small", ReadyAt: 1, Guaranteed: true}, large, {ID: "high", ReadyAt: 9, Rank: 2}}
 	Sort(jobs)
@@ -68,8 +68,8 @@
 	}
 }
 
-// countLate counts the jobs that end after their due time when a team with so many CPUs
-// serves them in the order of Sort, one after the other.
+// countLate counts the jobs that end after their due time when a team with so many CPUs serves them
+// in the order of Sort, one after the other.
 func countLate(cpus float64, jobs []*Job) (n int) {
 	Sort(jobs)
 	used := 0.0
@@ -81,10 +81,10 @@
 	return n
 }
 
-// Where the oldest first makes arrays late, due times decide: in an overload each
-// array waited as long as the oldest, and those with little time of their own were
-// late behind others with time to spare. Where there is time for all, age decides,
-// and other teams see no change.
+// Where serving the oldest first makes arrays late, due times decide. In an overload each array
+// waited as long as the oldest, and arrays with little time were late behind others with time to
+// spare. Where there is time for all, age decides. The queue positions of the team stay the same,
+// so other teams are not affected.
 func TestOrderByDue(t *testing.T) {
 	before, after := 0, 0
 	for seed := range uint64(200) {
@@ -104,7 +104,7 @@
 		Sort(light)
 		for i, j := range light {
 			if j.ReadyAt != core.WallTime(i+1) || j.QueueTime != 0 {
-				t.Fatalf("seed %d: the order changed though all have time", seed)
+				t.Fatalf("seed %d: the order changed although all jobs have time", seed)
 			}
 		}
 		overloaded := newJobs(1)
@@ -120,10 +120,10 @@
 			queueTimes[j.queueTime()] = true
 		}
 		if guaranteed != 4 || len(queueTimes) != len(overloaded) {
-			t.Fatalf("seed %d: the team's places in line are not those it had", seed)
+			t.Fatalf("seed %d: the team's queue positions changed", seed)
 		}
 	}
 	if after*4 > before*3 {
-		t.Fatalf("%d arrays late by due times, %d by age", after, before)
+		t.Fatalf("%d arrays late in order of due times, %d in order of age", after, before)
 	}
 }
--- a/internal/placement/dueorder.go
+++ b/internal/placement/dueorder.go
@@ -7,14 +7,14 @@
 	"lichenstair/internal/core"
 )
 
-// OrderByDue puts a team's arrays in the order of their due times where serving the
-// oldest first would make some of them late: those with little time of their own
-// would wait behind older ones that have more. They share the places in line that
-// they have by age, so that nothing changes for other teams. Estimates are often
-// wrong by half, so the order changes once the oldest-first order would use up half
-// of somebody's time; until then nothing changes. Those that are deferred come after.
+// OrderByDue puts a team's arrays in the order of their due times where serving the oldest first
+// would make some of them late: arrays with little time would wait behind older ones that have
+// more. They exchange only the queue positions that they have by age, so other teams are not
+// affected. Estimates are often wrong by half, so the order changes only once serving the oldest
+// first would use up more than half of the time of one array. Deferred arrays come after the
+// others.
 //
-// cpus and running are as for Defer, which has to come first.
+// cpus and runningWork are as for Defer, which has to be called before.
 func OrderByDue(now core.WallTime, cpus, runningWork float64, jobs []*Job) {
 	if !exceedsHalfTime(now, cpus, runningWork, jobs) {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// exceedsHalfTime tells whether serving jobs in the order of their places would take more
-// than half of the time that one of them has.
+// exceedsHalfTime reports whether serving jobs in queue order would take more than half of the time
+// that one of them has left.
 func exceedsHalfTime(now core.WallTime, cpus, runningWork float64, jobs []*Job) bool {
 	queue := slices.Clone(jobs)
 	slices.SortStableFunc(queue, compareInQueue)
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -4,7 +4,8 @@
 	"sort"
 )
 
-// placeGang finds machines for all waiting tasks at once, or nil.
+// placeGang finds machines for all waiting tasks of a gang at once, or returns nil. For a gang that
+// must stay in one zone it chooses the zone with the lowest total score.
 func (p *pass) placeGang(machines []*Machine, j *Job, free freeFunc) []*Machine {
 	if !j.OneZone {
 		return p.placeGangIn(machines, j, free, "")
@@ -33,6 +34,8 @@
 	return best
 }
 
+// placeGangIn finds machines for all waiting tasks of a gang in one zone, or in any zone if zone is
+// empty. It returns nil unless all of them fit.
 func (p *pass) placeGangIn(machines []*Machine, j *Job, free freeFunc, zone string) []*Machine {
 	type option struct {
 		machine *Machine
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -9,74 +9,76 @@
 	"lichenstair/internal/core"
 )
 
-// Starvation tells how far the wait of a job that has no task on a machine has gone.
+// Starvation is how long a job that has no task on a machine has been waiting, in levels.
 type Starvation int
 
 const (
-	// NotStarving: the job waits as jobs do.
+	// NotStarving is the normal level; no exception applies.
 	NotStarving Starvation = iota
-	// Starving: one of its tasks may take what gangs leave of the machines that are
-	// reserved for them.
+	// Starving jobs may start one task in the room that gangs leave on machines reserved for them.
 	Starving
-	// Starved: one of its tasks may take any machine that has had room for a while, also
-	// one that a gang could use or that another block asks for, and what its team has left
-	// although a larger job is next.
+	// Starved jobs may start one task on any machine that has had room for a while, even if a gang
+	// could use the machine or it is being drained for another block. It may also use what remains
+	// of the team's quota although a larger job is next.
 	Starved
 )
 
 // Job is a job with waiting tasks.
 type Job struct {
-	ID          core.JobID
-	Team        string
-	Rank        int // higher goes first
+	ID   core.JobID
+	Team string
+	Rank int // higher is scheduled first
+	// ReadyAt is the time since which the job may run.
 	ReadyAt     core.WallTime
 	Need        Resources
 	Gang        bool
 	Tasks       int // all tasks of the job
-	Waiting     int // tasks that wait
+	Waiting     int // tasks that wait for a machine
 	Types       []string
 	Zone        string
 	OneZone     bool
 	SpreadZones bool
 	Spot        bool
 	Image       string
-	Estimate    time.Duration
+	// Estimate is the expected run time of one task.
+	Estimate time.Duration
 	// TasksByZone counts the job's tasks that are on machines, by zone.
 	TasksByZone map[string]int
-	// ExcludedMachines names machines on which the job must not be tried for now.
+	// ExcludedMachines are machines on which the job must not be tried for now.
 	ExcludedMachines map[core.MachineID]bool
-	// GangMachinesOnly: the job's tasks fit only on machines that are kept for gangs.
+	// GangMachinesOnly is set if the job's tasks fit only on machines that are reserved for gangs.
 	GangMachinesOnly bool
-	// MissedDueTimes counts the aims on the job's time that it misses or gives way in.
+	// MissedDueTimes counts the due times that the job misses or is deferred past, the earliest
+	// first.
 	MissedDueTimes int
-	// Timing is set for arrays that have a deadline.
+	// Timing is set for arrays that have a due time.
 	Timing Timing
-	// TimeSensitive: its users have stated by when it should begin or be complete, or it is
-	// within a guarantee.
+	// TimeSensitive is set if users have stated by when the job should start or be complete, or if
+	// it is within a guarantee.
 	TimeSensitive bool
-	// Overdue: the job has waited so long without having begun that its start
-	// goes before all else of its rank.
+	// Overdue is set if the job has waited so long without having started that it is scheduled
+	// before all other jobs of its rank.
 	Overdue bool
-	// Starvation tells how far its wait with nothing running has gone.
+	// Starvation is the job's level of starvation while it has nothing running.
 	Starvation Starvation
-	// Failing: the job has only failed so far. It takes room that is free, and holds
-	// none.
+	// Failing is set if no task of the job has succeeded so far. The job may use free room but
+	// holds no reservation.
 	Failing bool
-	// Guaranteed: the job fits into what its team is guaranteed.
+	// Guaranteed is set if the job fits into the guarantee of its team.
 	Guaranteed bool
-	// QueueTime is the job's place in line, if it is not that of its age (0: it is).
+	// QueueTime is the job's position in the queue if it differs from ReadyAt; 0 means ReadyAt.
 	QueueTime core.WallTime
 }
 
-// Opportunistic tells whether it is idle-time work: of the lowest rank, and nobody has stated a
-// time for it.
+// Opportunistic reports whether the job is of the lowest rank and has no stated time, so that it
+// only uses otherwise idle machines.
 func (j *Job) Opportunistic() bool { return !j.TimeSensitive && j.Rank == Rank(api.RankBestEffort) }
 
-// queueTime is the job's place in line among those that are equal else.
+// queueTime is the job's position among jobs that are equal in all other respects.
 func (j *Job) queueTime() core.WallTime { return cmp.Or(j.QueueTime, j.ReadyAt) }
 
-// compareInQueue orders jobs that are equal in rank and timing: work within a guarantee
-// before borrowed, then the oldest first.
+// compareInQueue orders jobs that are equal in rank and timing: work within a guarantee before
+// borrowed work, then the oldest first.
 func compareInQueue(a, b *Job) int {
 	switch {
 	case a.Guaranteed != b.Guaranteed && a.Guaranteed:
@@ -87,8 +89,7 @@
 	return cmp.Or(cmp.Compare(a.queueTime(), b.queueTime()), cmp.Compare(a.ID, b.ID))
 }
 
-// NewJob describes a job from its specification; what has happened to it so far
-// is for the caller to add.
+// NewJob describes a job from its specification. The caller adds the state of its tasks.
 func NewJob(id core.JobID, readyAt core.WallTime, spec *api.Job) Job {
 	j := Job{
 		ID: id, Team: spec.Team, Rank: Rank(spec.Rank), ReadyAt: readyAt, Need: Resources{spec.CPUs, spec.GPUs, spec.MemoryGB},
@@ -101,8 +102,8 @@
 	return j
 }
 
-// Placeable tells whether all tasks of the job could be on machines at the same time, as
-// far as zones go: those that have to be spread need two zones.
+// Placeable reports whether all tasks of the job could be on machines at the same time, as far as
+// zones are concerned: tasks that must be spread need two zones.
 func (j *Job) Placeable(types map[string]api.MachineType) bool {
 	if !j.SpreadZones || j.Tasks < 2 {
 		return true
@@ -121,7 +122,7 @@
 // TopRank is above all ranks that users can state.
 const TopRank = 4
 
-// Rank is the place of a stated rank; higher goes first.
+// Rank is the numeric value of a rank's name; higher is scheduled first.
 func Rank(name string) int {
 	switch name {
 	case api.RankProduction:
@@ -134,10 +135,9 @@
 	return 0
 }
 
-// Sort puts jobs into the order in which they are served: by rank, those that have
-// waited too long with nothing running, those that
-// can still be in time before those that cannot, those with a time before those that
-// nobody waits for, work within a guarantee before borrowed, then the oldest first.
+// Sort orders jobs for scheduling: by rank; jobs that have waited too long without a start; starved
+// arrays; jobs that can still be in time before those that cannot; time-sensitive jobs before
+// others; work within a guarantee before borrowed work; then the oldest first.
 func Sort(jobs []*Job) {
 	sort.SliceStable(jobs, func(a, b int) bool {
 		x, y := jobs[a], jobs[b]
@@ -157,8 +157,8 @@
 	})
 }
 
-// Allows tells whether a task of the job may be on a machine like this one,
-// the job's other tasks aside.
+// Allows reports whether a task of the job may run on a machine of this type, zone and price class,
+// regardless of the job's other tasks.
 func (j *Job) Allows(typ, zone string, spot bool) bool {
 	if spot && !j.Spot || j.Zone != "" && j.Zone != zone {
 		return false
@@ -174,7 +174,8 @@
 	return false
 }
 
-// AllowsZone tells whether one more task may go to a zone.
+// AllowsZone reports whether one more task may go to a zone, given the number of the job's tasks in
+// each zone.
 func (j *Job) AllowsZone(zone string, zones map[string]int) bool {
 	if j.OneZone {
 		for z, n := range zones {
@@ -189,25 +190,26 @@
 	return true
 }
 
-// mayBypass tells whether the job may use what its team has left although a larger one that
-// does not fit into it is next. One task of a job that has nothing running delays that
-// one by little; a gang of several, by as much as it takes, so not if it is overdue.
+// mayBypass reports whether the job may use what remains of the team's quota although a larger job
+// that does not fit into it is next. One task of a job that has nothing running delays the larger
+// job little. A gang of several tasks delays it by its whole run time, so it must not bypass an
+// overdue job.
 func (j *Job) mayBypass(next *Job) bool {
 	return j.Starvation == Starved && (!j.Gang || j.Tasks == 1 || !next.Overdue)
 }
 
-// startsFirst tells whether the job's one task is served first of its rank. One whose zone
-// was full stood behind others, while a machine of another block had room.
+// startsFirst reports whether one task of the job is scheduled first within its rank. Without this
+// rule a starved array whose zone was full stayed behind other jobs although a machine of another
+// block had room.
 func (j *Job) startsFirst() bool { return j.Starvation == Starved && !j.Gang }
 
-// canRunOn tells whether one more task of an array could be on a machine, its zones
-// aside.
+// canRunOn reports whether one more task of an array fits on a machine, regardless of the zones of
+// its other tasks.
 func (j *Job) canRunOn(m *Machine, free Resources) bool {
 	return !m.full(1) && j.mayUse(m) && j.Need.Fits(free) && j.Allows(m.Type, m.Zone, m.Spot) && !j.ExcludedMachines[m.ID]
 }
 
-// mayUse tells whether an array may use a machine in spite of what the machine is
-// reserved for.
+// mayUse reports whether an array may use a machine in spite of what the machine is reserved for.
 func (j *Job) mayUse(m *Machine) bool {
 	if j.Starvation == Starved && j.Need.Fits(m.RecentMinFree) {
 		return true
@@ -218,7 +220,7 @@
 	return !m.GangReserved || j.GangMachinesOnly || j.Starvation != NotStarving && m.leavesGangRoom(j)
 }
 
-// gangMayUse is mayUse for a gang: machines are kept for gangs.
+// gangMayUse is mayUse for a gang, which the reservation for gangs does not exclude.
 func (j *Job) gangMayUse(m *Machine) bool {
 	return !m.Draining || j.Starvation == Starved && j.Need.Fits(m.RecentMinFree)
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,9 +1,9 @@
-// Package placement decides which waiting tasks start on which machines. It is
-// pure: no input or output, and the time is handed in.
+// Package placement decides which waiting tasks start on which machines. It is pure: it does no
+// input or output, and the time is an argument.
 //
-// It follows Backfill Balanced (Leinberger, Karypis, Kumar, TR 99-025), as
-// adapted in docs/design.md: the oldest task takes the machine with the best
-// balance or reserves one, as in EASY; later tasks fill in, best pair first.
+// It follows Backfill Balanced (Leinberger, Karypis, Kumar, TR 99-025), as adapted in
+// docs/design.md: the task at the head of the queue takes the machine with the best balance or
+// reserves one, as in EASY; later tasks are backfilled, the best pair of task and machine first.
 package placement
 
 import (
@@ -14,11 +14,11 @@
 	"lichenstair/internal/core"
 )
 
-// MaxTasks bounds the tasks on a machine, exited ones included: a worker's
-// report names them all and may not be longer than a request body.
+// MaxTasks bounds the tasks on a machine, exited ones included: a worker's report lists all of them
+// and must not exceed the maximum size of a request body.
 const MaxTasks = 450
 
-// Release is an amount that is expected to become free.
+// Release is an amount of resources that is expected to become free at a time.
 type Release struct {
 	At        core.Time
 	Resources Resources
@@ -34,85 +34,89 @@
 	Booked   Resources
 	Releases []Release
 	Images   map[string]bool
-	// Tasks counts what is on the machine, MaxTasks bounds it (0: no bound).
+	// Tasks counts the tasks on the machine, exited ones included; MaxTasks is its bound (0: no
+	// bound).
 	Tasks    int
 	MaxTasks int
-	// GangReserved: the machine is kept for gangs, which do not fit elsewhere.
+	// GangReserved is set if the machine is reserved for gangs that do not fit elsewhere.
 	GangReserved bool
-	// GangTaskSize is what the largest task of those gangs needs, and BookedByArrays what is booked
-	// by tasks of arrays.
+	// GangTaskSize is the need of the largest task of those gangs; BookedByArrays is what tasks of
+	// arrays have booked.
 	GangTaskSize, BookedByArrays Resources
-	// RecentMinFree is what has been free on it for a while.
+	// RecentMinFree is the minimum of what has been free on the machine over a recent window.
 	RecentMinFree Resources
-	// BusyFor is how long what runs on it now will last by estimate.
+	// BusyFor is the estimated time until the last task that runs on the machine now ends.
 	BusyFor time.Duration
-	// Draining: the machine is asked back and goes once it is empty.
+	// Draining is set if the machine leaves its block once it is empty.
 	Draining bool
-	// Unreliable: the machine has failed tasks lately; it is taken last.
+	// Unreliable is set if tasks have failed on the machine recently; it is used last.
 	Unreliable bool
 }
 
-// full tells whether n more tasks are too many for the machine.
+// full reports whether n more tasks would exceed the machine's bound.
 func (m *Machine) full(n int) bool { return m.MaxTasks > 0 && m.Tasks+n > m.MaxTasks }
 
-// leavesGangRoom tells whether a task of an array takes nothing from the gangs for which the
-// machine is kept: it leaves them room, and has ended by the time at which the machine
-// could go to another block that has such a gang.
+// leavesGangRoom reports whether a task of an array takes nothing from the gangs for which the
+// machine is reserved: their largest task still fits beside all arrays, and the task ends before
+// the machine could be empty and go to another block that has such a gang.
 func (m *Machine) leavesGangRoom(j *Job) bool {
 	return j.Estimate <= m.BusyFor && j.Need.Add(m.BookedByArrays).Add(m.GangTaskSize).Fits(m.Total)
 }
 
-// Free returns what is not booked.
+// Free returns the resources that are not booked.
 func (m *Machine) Free() Resources { return m.Total.Sub(m.Booked) }
 
-// Team is what a team uses and may use.
+// Team is a team's use of resources and its quota.
 type Team struct {
 	Used, Quota Resources
-	// waitsForQuota was skipped because of the limit. What the team has left is for that job;
-	// later ones must not take it away bit by bit.
+	// waitsForQuota is the job that was skipped because of the quota. The rest of the quota is
+	// withheld for it; otherwise smaller later jobs would use it up bit by bit.
 	waitsForQuota *Job
 }
 
-// Allows tells whether the team's limit leaves room for a need.
+// Allows reports whether a need fits into what remains of the team's quota.
 func (t *Team) Allows(need Resources) bool { return t.Used.Add(need).FitsQuota(t.Quota) }
 
-// WithholdsFrom tells whether what the team has left is not for a job, since a larger one is next.
+// WithholdsFrom reports whether the rest of the team's quota is withheld from a job because a
+// larger one is next.
 func (t *Team) WithholdsFrom(j *Job) bool {
 	return t.waitsForQuota != nil && t.waitsForQuota != j && !j.mayBypass(t.waitsForQuota)
 }
 
-// Start is a task of a job to be started on a machine.
+// Start is the decision to start one task of a job on a machine.
 type Start struct {
 	Job     core.JobID
 	Machine core.MachineID
 }
 
-// Result is what a pass decided.
+// Result holds the decisions of one scheduling pass.
 type Result struct {
 	Starts []Start
-	// ReservedJob is the job that holds the reservation, if any.
+	// ReservedJob is the job that has the reservation, if any; ReservedAt is its estimated start
+	// and ReservedResources what it reserves by machine.
 	ReservedJob       core.JobID
 	ReservedAt        core.Time
 	ReservedResources map[core.MachineID]Resources
 }
 
-// Policy chooses between the ordinary path and what it is compared with.
+// Policy switches parts of the algorithm off, for comparison in tests and simulations.
 type Policy struct {
 	FirstFit      bool
 	NoReservation bool
 }
 
 type pass struct {
-	now        core.Time
-	policy     Policy
-	machines   []*Machine
-	candidates []*Machine // those with room for the smallest need of any job
+	now      core.Time
+	policy   Policy
+	machines []*Machine
+	// candidates are the machines with room for the smallest need of any job.
+	candidates []*Machine
 	teams      map[string]*Team
 	result     Result
 }
 
-// findCandidates leaves out the machines on which nothing can start in this pass: in a
-// busy block those are nearly all, and each job would look at them again.
+// findCandidates leaves out the machines on which nothing can start in this pass. In a busy block
+// these are nearly all, and otherwise every job would examine them again.
 func (p *pass) findCandidates(jobs []*Job) {
 	if len(jobs) == 0 {
 		return
@@ -128,8 +132,8 @@
 	}
 }
 
-// Schedule decides what can start now. It changes machines, jobs and teams as if
-// the tasks had been started.
+// Schedule decides what can start now. It updates machines, jobs and teams as if the tasks had been
+// started.
 func Schedule(now core.Time, machines []*Machine, jobs []*Job, teams map[string]*Team, policy Policy) Result {
 	p := &pass{now: now, policy: policy, machines: machines, teams: teams}
 	Sort(jobs)
@@ -143,7 +147,8 @@
 	return p.result
 }
 
-// scheduleHead starts what it can of the oldest job, and reserves for the rest of it.
+// scheduleHead starts what it can of the job at the head of the queue, and makes a reservation for
+// the rest of it.
 func (p *pass) scheduleHead(j *Job) {
 	if j.Gang {
 		if !p.hasQuota(j, j.Waiting) {
@@ -165,8 +170,8 @@
 	}
 }
 
-// startArrayTasks starts tasks of the oldest array, each on its best machine, as long as
-// machines have room. It tells false if the team's limit was met first.
+// startArrayTasks starts tasks of an array at the head of the queue, each on its best machine, as
+// long as machines have room. It returns false if the team's quota was exhausted first.
 func (p *pass) startArrayTasks(j *Job) bool {
 	var ranked *ranking
 	if !j.OneZone && !j.SpreadZones && !p.policy.FirstFit {
@@ -190,6 +195,8 @@
 	return true
 }
 
+// hasQuota reports whether the quota of the job's team admits so many tasks now. The first job that
+// does not fit becomes the one for which the rest of the quota is withheld.
 func (p *pass) hasQuota(j *Job, tasks int) bool {
 	t := p.teams[j.Team]
 	if t == nil {
@@ -207,6 +214,7 @@
 	return true
 }
 
+// start books one task of a job on a machine and records the decision.
 func (p *pass) start(j *Job, m *Machine) {
 	m.Booked = m.Booked.Add(j.Need)
 	if !j.Gang {
@@ -225,11 +233,12 @@
 	p.result.Starts = append(p.result.Starts, Start{j.ID, m.ID})
 }
 
+// freeFunc returns the resources of a machine that a job may use.
 type freeFunc func(m *Machine) Resources
 
 func (p *pass) free(m *Machine) Resources { return m.Free() }
 
-// freeAt estimates what is free at a time.
+// freeAt estimates what is free on the machine at a time.
 func (m *Machine) freeAt(at core.Time) Resources {
 	free := m.Free()
 	for _, r := range m.Releases {
@@ -240,9 +249,8 @@
 	return free
 }
 
-// reserve holds the machines that can take the head job soonest by estimate. What
-// is free only grows with time, so the first time at which it fits is found by
-// halving.
+// reserve reserves the machines on which the head job can start soonest by estimate. Free resources
+// only grow with time, so the earliest release at which the job fits is found by binary search.
 func (p *pass) reserve(j *Job) {
 	var machines []*Machine
 	var times []core.Time
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -14,8 +14,8 @@
 	return &Machine{ID: core.MachineID(id), Type: "t", Zone: "a", Total: Resources{CPUs: cpus, MemoryGB: mem}, Images: map[string]bool{}}
 }
 
-// The score is worked out by hand: 4 of 8 CPUs and 8 of 32 GB give fractions
-// 0.5 and 0.25, so (0.5/0.375 - 1) * (1 - 0.375).
+// The expected score is computed by hand: 4 of 8 CPUs and 8 of 32 GB give fractions 0.5 and 0.25,
+// so (0.5/0.375 - 1) * (1 - 0.375).
 func TestScore(t *testing.T) {
 	s, mean := Score(newMachine("m", 8, 32), Resources{CPUs: 4, MemoryGB: 8})
 	if math.Abs(s-(0.5/0.375-1)*0.625) > 1e-12 || math.Abs(mean-0.375) > 1e-12 {
@@ -23,8 +23,8 @@
 	}
 }
 
-// The head job reserves the machine that is freed soonest; a later job may use
-// it only if it ends in time, or if the head still fits beside it.
+// The head job reserves the machine that becomes free soonest. A later job may use it only if it
+// ends before the reserved start, or if the head job still fits beside it.
 func TestReservation(t *testing.T) {
 	teams := map[string]*Team{"red": {Quota: Resources{CPUs: 1000}}}
 	m := newMachine("m", 8, 64)
@@ -44,9 +44,9 @@
 	}
 }
 
-// A gang that its team's limit keeps waiting must not see smaller jobs of the
-// same team take up, one by one, what becomes free below the limit.
-func TestTeamLimitIsKeptForTheHead(t *testing.T) {
+// While a gang waits for its team's quota, smaller jobs of the same team must not use up, one by
+// one, what becomes free of the quota.
+func TestTeamQuotaIsWithheldForHeadJob(t *testing.T) {
 	teams := map[string]*Team{"red": {Used: Resources{CPUs: 80}, Quota: Resources{CPUs: 100}}, "blue": {Quota: Resources{CPUs: 100}}}
 	gang := &Job{ID: "gang", Team: "red", Rank: 2, Need: Resources{CPUs: 30}, Gang: true, Tasks: 1, Waiting: 1}
 	small := &Job{ID: "small", Team: "red", Rank: 1, Need: Resources{CPUs: 1}, Tasks: 30, Waiting: 30}
@@ -58,13 +58,13 @@
 	teams["red"] = &Team{Used: Resources{CPUs: 70}, Quota: Resources{CPUs: 100}}
 	Schedule(0, []*Machine{newMachine("m", 64, 64)}, []*Job{gang, small}, teams, Policy{})
 	if gang.Waiting != 0 {
-		t.Fatal("the gang does not start though there is room")
+		t.Fatal("the gang does not start although its team's quota has room")
 	}
 }
 
-// Random passes: nothing is overbooked, no rule about places is broken, gangs
-// start whole, and the cached choice of backfill is as good as a full search.
-func TestPassKeepsTheRules(t *testing.T) {
+// Random passes: no machine is overbooked, no placement constraint is violated, gangs start
+// completely, and the cached choice of backfill is as good as a full search.
+func TestScheduleKeepsConstraints(t *testing.T) {
 	for seed := range uint64(300) {
 		r := rand.New(rand.NewPCG(seed, 3))
 		var machines []*Machine
@@ -107,26 +107,26 @@
 			}
 			zones[j.ID][m.Zone]++
 			if !j.Allows(m.Type, m.Zone, m.Spot) {
-				t.Fatalf("seed %d: %s on %s", seed, j.ID, m.ID)
+				t.Fatalf("seed %d: %s started on %s, which it does not allow", seed, j.ID, m.ID)
 			}
 		}
 		for id, n := range count {
 			j := byID[id]
 			if j.Gang && n != j.Tasks {
-				t.Fatalf("seed %d: gang %s started in part", seed, id)
+				t.Fatalf("seed %d: gang %s started only partly", seed, id)
 			}
 			if j.OneZone && len(zones[id]) > 1 {
-				t.Fatalf("seed %d: %s in two zones", seed, id)
+				t.Fatalf("seed %d: one-zone job %s started in two zones", seed, id)
 			}
 			for z, k := range zones[id] {
 				if j.SpreadZones && k > (j.Tasks+1)/2 {
-					t.Fatalf("seed %d: %s has %d tasks in %s", seed, id, k, z)
+					t.Fatalf("seed %d: spread job %s has %d tasks in zone %s", seed, id, k, z)
 				}
 			}
 		}
 		for name, team := range teams {
 			if team.Used.CPUs > team.Quota.CPUs+1e-6 {
-				t.Fatalf("seed %d: team %s uses %g", seed, name, team.Used.CPUs)
+				t.Fatalf("seed %d: team %s uses %g CPUs, more than its quota", seed, name, team.Used.CPUs)
 			}
 		}
 		if res.ReservedJob == "" {
@@ -134,7 +134,7 @@
 				for _, m := range machines {
 					u := teams[j.Team]
 					if !j.Gang && !u.WithholdsFrom(j) && j.Waiting > 0 && j.Need.Fits(m.Free()) && j.Allows(m.Type, m.Zone, m.Spot) && j.AllowsZone(m.Zone, j.TasksByZone) && u.Used.CPUs+j.Need.CPUs <= u.Quota.CPUs {
-						t.Fatalf("seed %d: %s waits though %s has room", seed, j.ID, m.ID)
+						t.Fatalf("seed %d: %s waits although %s has room", seed, j.ID, m.ID)
 					}
 				}
 			}
@@ -142,12 +142,12 @@
 	}
 }
 
-// A job that has waited for long with nothing running begins with one task: first where it
-// takes nothing from the gangs for which a machine is kept, then also on a machine that is
-// kept or asked back, and although a larger job of its team is next: users count 90 s beside
-// a machine with room. It waited there for as long as a gang that needed nearly all of its
-// team's limit. A gang does not pass one that is overdue.
-func TestStarvingJobsBegin(t *testing.T) {
+// A job that has waited long with nothing running starts one task: first where it takes nothing
+// from the gangs for which a machine is reserved, then also on a machine that is reserved or
+// draining, and although a larger job of its team is next. Users count 90 s of waiting beside a
+// machine with room; without this rule the job waited as long as a gang that needed nearly all of
+// the team's quota. A starving gang does not bypass an overdue job.
+func TestStarvingJobsStart(t *testing.T) {
 	reserved := func(gang, arrays float64) func(*Machine, *Team) {
 		return func(m *Machine, _ *Team) {
 			m.GangReserved, m.GangTaskSize, m.BookedByArrays = true, Resources{CPUs: gang, MemoryGB: 1}, Resources{CPUs: arrays, MemoryGB: 1}
@@ -171,22 +171,22 @@
 		change     func(m *Machine, team *Team)
 		starts     bool
 	}{
-		{"kept", NotStarving, false, false, reserved(7, 0), false},
-		{"kept, starving", Starving, false, false, reserved(7, 0), true},
-		{"kept, starving, room for the gang in part", Starving, false, false, reserved(7.5, 0), false},
-		{"kept, starving, other arrays beside the gang", Starving, false, false, reserved(7, 1), false},
-		{"kept, starving, the gang's task ends sooner", Starving, false, false, freeSoon, false},
-		{"kept, starved", Starved, false, false, reserved(8, 0), true},
-		{"kept and in use until now, starved", Starved, false, false, recentlyBusy, false},
-		{"asked back", NotStarving, false, false, draining, false},
-		{"asked back, starving", Starving, false, false, draining, false},
-		{"asked back, starved", Starved, false, false, draining, true},
-		{"limit", NotStarving, false, false, quota, false},
-		{"limit, starving", Starving, false, false, quota, false},
-		{"limit, starved", Starved, false, false, quota, true},
-		{"limit, the larger one overdue", Starved, true, false, quota, true},
-		{"limit, a gang", Starved, false, true, quota, true},
-		{"limit, a gang, the larger one overdue", Starved, true, true, quota, false},
+		{"reserved", NotStarving, false, false, reserved(7, 0), false},
+		{"reserved, starving", Starving, false, false, reserved(7, 0), true},
+		{"reserved, starving, not enough room for the gang's task", Starving, false, false, reserved(7.5, 0), false},
+		{"reserved, starving, other arrays beside the gang", Starving, false, false, reserved(7, 1), false},
+		{"reserved, starving, the machine is empty sooner", Starving, false, false, freeSoon, false},
+		{"reserved, starved", Starved, false, false, reserved(8, 0), true},
+		{"reserved and in use until now, starved", Starved, false, false, recentlyBusy, false},
+		{"draining", NotStarving, false, false, draining, false},
+		{"draining, starving", Starving, false, false, draining, false},
+		{"draining, starved", Starved, false, false, draining, true},
+		{"quota", NotStarving, false, false, quota, false},
+		{"quota, starving", Starving, false, false, quota, false},
+		{"quota, starved", Starved, false, false, quota, true},
+		{"quota, larger job overdue", Starved, true, false, quota, true},
+		{"quota, gang", Starved, false, true, quota, true},
+		{"quota, gang, larger job overdue", Starved, true, true, quota, false},
 	} {
 		m, team := newMachine("m", 8, 64), &Team{Quota: Resources{CPUs: 30}}
 		m.RecentMinFree = m.Total
--- a/internal/placement/plain_test.go
+++ b/internal/placement/plain_test.go
@@ -11,8 +11,8 @@
 	"lichenstair/internal/core"
 )
 
-// referenceSchedule is the rule as written: each task looks at every machine, and each
-// time of release is tried in turn.
+// referenceSchedule is the algorithm without optimizations: each task examines every machine, and
+// each time of release is tried in turn.
 func referenceSchedule(now core.Time, machines []*Machine, jobs []*Job, teams map[string]*Team) Result {
 	p := &pass{now: now, machines: machines, candidates: machines, teams: teams}
 	Sort(jobs)
@@ -25,7 +25,7 @@
 	return p.result
 }
 
-// referenceBackfill looks at every pair of a job and a machine before each start.
+// referenceBackfill examines every pair of a job and a machine before each start.
 func referenceBackfill(p *pass, jobs []*Job) {
 	for _, j := range jobs {
 		if j.Gang && p.hasQuota(j, j.Waiting) {
@@ -103,10 +103,10 @@
 	}
 }
 
-// A pass over hundreds of machines and thousands of tasks must not cost their
-// product. The cheaper way chooses as the plain rule does: the same starts in the
-// same order, and the same reservation.
-func TestCheaperPassChoosesAlike(t *testing.T) {
+// The cost of a pass over hundreds of machines and thousands of tasks must not grow with their
+// product. The optimized pass decides as the reference does: the same starts in the same order, and
+// the same reservation.
+func TestScheduleMatchesReference(t *testing.T) {
 	started, reserved := 0, 0
 	for seed := range uint64(300) {
 		build := func() ([]*Machine, []*Job, map[string]*Team) {
@@ -139,7 +139,7 @@
 				}
 				jobs = append(jobs, j)
 			}
-			for i := range r.IntN(3) * 15 { // thousands of jobs of one task each
+			for i := range r.IntN(3) * 15 { // single-task jobs
 				jobs = append(jobs, &Job{
 					ID: core.JobID(fmt.Sprint("single-", i)), Team: "blue", ReadyAt: core.WallTime(2 + r.IntN(9)), Need: Resources{CPUs: 0.5, MemoryGB: float64(1 + seed%3)},
 					Tasks: 1, Waiting: 1, Estimate: time.Duration(1+r.IntN(60)) * time.Second, Image: fmt.Sprint(r.IntN(2)), Spot: true, TimeSensitive: r.IntN(2) == 0,
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -2,9 +2,9 @@
 
 import "container/heap"
 
-// ranking holds the machines that could take a task of one array, the best first.
-// A start changes the rating of its own machine only, so the next best need not be
-// looked for among all of them again.
+// ranking is a heap of the machines that could take a task of one array, the best first. A start
+// changes the rating of its own machine only, so the next best machine is found without rating all
+// of them again.
 type ranking struct {
 	job     *Job
 	entries []rankEntry
@@ -12,7 +12,7 @@
 
 type rankEntry struct {
 	machine *Machine
-	index   int // among the machines of the pass; decides between equal ratings
+	index   int // among the candidates of the pass; decides between equal ratings
 	rating  rating
 }
 
@@ -29,7 +29,7 @@
 	return last
 }
 
-// rank rates the machines for an array whose tasks may be in any zones.
+// rank rates the machines for an array whose tasks may be in any zone.
 func (p *pass) rank(j *Job) *ranking {
 	r := &ranking{job: j}
 	for i, m := range p.candidates {
@@ -41,8 +41,8 @@
 	return r
 }
 
-// best returns the machine for the next task, or nil. The first row is the one
-// that the last task went to, or was never used: its rating is made anew.
+// best returns the machine for the next task, or nil. The first entry may be the machine that the
+// last task went to, so its rating is computed again before it is used.
 func (r *ranking) best(p *pass) *Machine {
 	for len(r.entries) > 0 {
 		top := &r.entries[0]
--- a/internal/placement/rating.go
+++ b/internal/placement/rating.go
@@ -4,8 +4,9 @@
 	"math"
 )
 
-// Score rates a need on a machine; lower is better. It is the paper's balance
-// measure less one, times its fullness modifier.
+// Score rates a need on a machine; lower is better. It is the paper's balance measure minus one,
+// multiplied by its fullness modifier. mean is the average utilization of the machine's resources
+// including the need.
 func Score(m *Machine, n Resources) (score, mean float64) {
 	most, sum, k := 0.0, 0.0, 0.0
 	add := func(booked, need, total float64) {
@@ -24,6 +25,8 @@
 	return (most/mean - 1) * (1 - mean), mean
 }
 
+// rating orders machines for a job: reliable ones first, then by score, then the fuller machine,
+// then one that has the job's image.
 type rating struct {
 	unreliable   bool
 	score        float64
@@ -31,6 +34,7 @@
 	imageMissing bool
 }
 
+// better reports whether a is strictly better than b.
 func (a rating) better(b rating) bool {
 	switch {
 	case a.unreliable != b.unreliable:
@@ -43,19 +47,20 @@
 	return !a.imageMissing && b.imageMissing
 }
 
-// rate rates a machine for a job. Scores are rounded, so that sums made in another
-// order count as equal.
+// rate rates a machine for a job. Scores are rounded, so that sums computed in a different order
+// compare as equal.
 func rate(j *Job, m *Machine) rating {
 	const precision = 1e9
 	s, mean := Score(m, j.Need)
 	return rating{m.Unreliable, math.Round(s * precision), math.Round(mean * precision), !m.Images[j.Image]}
 }
 
-// best returns the machine with the best rating for one task of an array.
+// best returns the candidate with the best rating for one task of an array.
 func (p *pass) best(j *Job, free freeFunc) (*Machine, rating) {
 	return p.bestOf(p.candidates, j, free)
 }
 
+// bestOf returns the machine with the best rating for one task of an array, or nil.
 func (p *pass) bestOf(machines []*Machine, j *Job, free freeFunc) (*Machine, rating) {
 	var best *Machine
 	var bestRating rating
