--- a/internal/capacity/shapes.go
+++ b/internal/capacity/shapes.go
@@ -16,30 +16,32 @@
 	Spot  bool
 }
 
-// GangShapes remembers what kinds of gangs have come lately, so that machines that
-// alone can take them are not filled with what fits elsewhere.
+// GangShapes remembers the shapes of gangs that arrived recently, so that machines which alone can
+// take them are not filled with work that fits elsewhere.
 type GangShapes struct {
-	seen map[GangShape]sighting
+	seen map[GangShape]observedGang
 }
 
-type sighting struct {
+// observedGang is the last gang of a shape.
+type observedGang struct {
 	at    core.Time
 	job   placement.Job
 	class string
 }
 
 const (
-	remembered = 10 * time.Minute
-	maxShapes  = 64
+	shapeRetention = 10 * time.Minute
+	maxShapes      = 64
 )
 
-// Observe remembers a gang.
+// Observe remembers the shape of a job that is a gang. New shapes are ignored while maxShapes are
+// known.
 func (s *GangShapes) Observe(now core.Time, spec *api.Job) {
 	if spec.Form != api.FormGang {
 		return
 	}
 	if s.seen == nil {
-		s.seen = map[GangShape]sighting{}
+		s.seen = map[GangShape]observedGang{}
 	}
 	k := GangShape{Need: placement.Resources{CPUs: spec.CPUs, GPUs: spec.GPUs, MemoryGB: spec.MemoryGB}, Spot: spec.Spot}
 	for _, t := range spec.Types {
@@ -48,37 +50,38 @@
 	if _, ok := s.seen[k]; !ok && len(s.seen) >= maxShapes {
 		return
 	}
-	s.seen[k] = sighting{now, placement.NewJob("", 0, spec), spec.Class}
+	s.seen[k] = observedGang{now, placement.NewJob("", 0, spec), spec.Class}
 }
 
-// GangMachinesOnly tells whether a job's tasks fit only on kinds that are kept.
-func GangMachinesOnly(j *placement.Job, types map[string]api.MachineType, kept GangKinds) bool {
+// GangMachinesOnly reports whether a job's tasks fit only on kinds of machine that are reserved for
+// gangs.
+func GangMachinesOnly(j *placement.Job, types map[string]api.MachineType, reserved GangKinds) bool {
 	for name, t := range types {
 		if j.Need.Fits(placement.CapacityOf(t)) && j.Allows(name, j.Zone, false) &&
-			(!kept.Has(MachineKind{name, false}) || j.Spot && !kept.Has(MachineKind{name, true})) {
+			(!reserved.Has(MachineKind{name, false}) || j.Spot && !reserved.Has(MachineKind{name, true})) {
 			return false
 		}
 	}
 	return true
 }
 
-// MachineKind is a type of machine, spot or ordinary.
+// MachineKind is a machine type, as spot or on-demand machine.
 type MachineKind struct {
 	Type string
 	Spot bool
 }
 
-// GangKinds maps each kind of machine that is kept for gangs to the largest need of a
-// task of those gangs.
+// GangKinds maps each kind of machine that is reserved for gangs to the largest need of a task of
+// those gangs.
 type GangKinds map[MachineKind]placement.Resources
 
-// Has tells whether a kind is kept for gangs.
+// Has reports whether a kind is reserved for gangs.
 func (k GangKinds) Has(kind MachineKind) bool {
 	_, ok := k[kind]
 	return ok
 }
 
-// Add notes that a gang wants machines of a type, spot machines too if it may use them.
+// Add reserves a type for a gang, also as spot machine if the gang may use those.
 func (k GangKinds) Add(typ string, gang *placement.Job) {
 	kinds := []MachineKind{{typ, false}}
 	if gang.Spot {
@@ -90,18 +93,17 @@
 	}
 }
 
-// GangKinds lists the kinds of machine that are kept for gangs: a gang that came
-// lately fits there, does not fit on some other type that arrays can use, and
-// cannot wait until one boots.
-func (s *GangShapes) GangKinds(now core.Time, aims []config.Objective, types map[string]api.MachineType) GangKinds {
+// GangKinds lists the kinds of machine that are reserved for gangs: a recent gang fits there, does
+// not fit on some other type that arrays can use, and cannot wait until a machine boots.
+func (s *GangShapes) GangKinds(now core.Time, objectives []config.Objective, types map[string]api.MachineType) GangKinds {
 	out := GangKinds{}
 	for k, seen := range s.seen {
-		if now.Sub(seen.at) > remembered {
+		if now.Sub(seen.at) > shapeRetention {
 			delete(s.seen, k)
 			continue
 		}
 		for _, name := range RestrictedTypes(&seen.job, types) {
-			if canWait(aims, seen.class, 2*core.Seconds(types[name].BootS)) {
+			if toleratesWait(objectives, seen.class, 2*core.Seconds(types[name].BootS)) {
 				continue
 			}
 			out.Add(name, &seen.job)
@@ -110,9 +112,9 @@
 	return out
 }
 
-// RestrictedTypes lists the types on which a gang's tasks fit, if they do not fit on all. For a
-// gang that can never be placed nothing is scarce: it kept arrays off machines that it
-// could not use either.
+// RestrictedTypes lists the types on which a gang's tasks fit, if they do not fit on all types. It
+// is empty for a gang that can never be placed: such a gang kept arrays off machines that it could
+// not use either.
 func RestrictedTypes(j *placement.Job, types map[string]api.MachineType) (fit []string) {
 	if !j.Placeable(types) {
 		return nil
@@ -128,12 +130,12 @@
 	return fit
 }
 
-// canWait tells whether every aim on the start of a class, of which there is at
-// least one, leaves a time. Twice the usual boot time covers the slower boots,
-// the rental and the image.
-func canWait(aims []config.Objective, class string, d time.Duration) bool {
+// toleratesWait reports whether every objective on the start of a class, of which there is at least
+// one, allows a wait of d. Callers pass twice the usual boot time, which covers slower boots, the
+// rental and fetching the image.
+func toleratesWait(objectives []config.Objective, class string, d time.Duration) bool {
 	stated := false
-	for _, a := range aims {
+	for _, a := range objectives {
 		if a.Kind == "wait" && a.Class == class {
 			if a.Within < d {
 				return false
--- a/internal/placement/dueorder.go
+++ b/internal/placement/dueorder.go
@@ -7,19 +7,19 @@
 	"lichenstair/internal/core"
 )
 
-// OrderByDue puts a team's arrays in the order of their due times where serving the
-// oldest first would make some of them late: those with little time of their own
-// would wait behind older ones that have more. They share the places in line that
-// they have by age, so that nothing changes for other teams. Estimates are often
-// wrong by half, so the order changes once the oldest-first order would use up half
-// of somebody's time; until then nothing changes. Those that are deferred come after.
+// OrderByDue puts a team's arrays in the order of their due times where serving the oldest first
+// would make some of them late: arrays with little time would wait behind older ones that have
+// more. They exchange only the queue positions that they have by age, so other teams are not
+// affected. Estimates are often wrong by half, so the order changes only once serving the oldest
+// first would use up more than half of the time of one array. Deferred arrays come after the
+// others.
 //
-// cpus and running are as for Defer, which has to come first.
-func OrderByDue(now core.WallTime, cpus, running float64, jobs []*Job) {
-	if !someLate(now, cpus, running, jobs) {
+// cpus and runningWork are as for Defer, which has to be called before.
+func OrderByDue(now core.WallTime, cpus, runningWork float64, jobs []*Job) {
+	if !exceedsHalfTime(now, cpus, runningWork, jobs) {
 		return
 	}
-	type place struct {
+	type queueSlot struct {
 		guaranteed bool
 		at         core.WallTime
 	}
@@ -29,29 +29,29 @@
 	}
 	for _, late := range core.SortedKeys(byLate) {
 		group := byLate[late]
-		slices.SortStableFunc(group, inLine)
-		var places []place
+		slices.SortStableFunc(group, compareInQueue)
+		var slots []queueSlot
 		for _, j := range group {
-			places = append(places, place{j.Guaranteed, j.turn()})
+			slots = append(slots, queueSlot{j.Guaranteed, j.queueTime()})
 		}
 		due := func(j *Job) core.WallTime { return j.Timing.Due[min(late, len(j.Timing.Due)-1)] }
 		slices.SortStableFunc(group, func(a, b *Job) int { return cmp.Compare(due(a), due(b)) })
 		for i, j := range group {
-			j.Guaranteed, j.QueueTime = places[i].guaranteed, places[i].at
+			j.Guaranteed, j.QueueTime = slots[i].guaranteed, slots[i].at
 		}
 	}
 }
 
-// someLate tells whether serving jobs in the order of their places would take more
-// than half of the time that one of them has.
-func someLate(now core.WallTime, cpus, running float64, jobs []*Job) bool {
-	line := slices.Clone(jobs)
-	slices.SortStableFunc(line, inLine)
-	used := running
-	for _, j := range line {
-		used += j.Timing.Work
-		have := float64(j.Timing.Due[0]-now)/1000 - (j.Estimate + fetchTime).Seconds()
-		if 2*used > have*cpus {
+// exceedsHalfTime reports whether serving jobs in queue order would take more than half of the time
+// that one of them has left.
+func exceedsHalfTime(now core.WallTime, cpus, runningWork float64, jobs []*Job) bool {
+	queue := slices.Clone(jobs)
+	slices.SortStableFunc(queue, compareInQueue)
+	work := runningWork
+	for _, j := range queue {
+		work += j.Timing.Work
+		secondsLeft := float64(j.Timing.Due[0]-now)/1000 - (j.Estimate + fetchTime).Seconds()
+		if 2*work > secondsLeft*cpus {
 			return true
 		}
 	}
--- a/internal/placement/rating.go
+++ b/internal/placement/rating.go
@@ -4,8 +4,9 @@
 	"math"
 )
 
-// Score rates a need on a machine; lower is better. It is the paper's balance
-// measure less one, times its fullness modifier.
+// Score rates a need on a machine; lower is better. It is the paper's balance measure minus one,
+// multiplied by its fullness modifier. mean is the average utilization of the machine's resources
+// including the need.
 func Score(m *Machine, n Resources) (score, mean float64) {
 	most, sum, k := 0.0, 0.0, 0.0
 	add := func(booked, need, total float64) {
@@ -24,13 +25,16 @@
 	return (most/mean - 1) * (1 - mean), mean
 }
 
+// rating orders machines for a job: reliable ones first, then by score, then the fuller machine,
+// then one that has the job's image.
 type rating struct {
-	unreliable bool
-	score      float64
-	mean       float64
-	cold       bool
+	unreliable   bool
+	score        float64
+	mean         float64
+	imageMissing bool
 }
 
+// better reports whether a is strictly better than b.
 func (a rating) better(b rating) bool {
 	switch {
 	case a.unreliable != b.unreliable:
@@ -40,35 +44,36 @@
 	case a.mean != b.mean:
 		return a.mean > b.mean
 	}
-	return !a.cold && b.cold
+	return !a.imageMissing && b.imageMissing
 }
 
-// rate rates a machine for a job. Scores are rounded, so that sums made in another
-// order count as equal.
+// rate rates a machine for a job. Scores are rounded, so that sums computed in a different order
+// compare as equal.
 func rate(j *Job, m *Machine) rating {
-	const grid = 1e9
+	const precision = 1e9
 	s, mean := Score(m, j.Need)
-	return rating{m.Unreliable, math.Round(s * grid), math.Round(mean * grid), !m.Images[j.Image]}
+	return rating{m.Unreliable, math.Round(s * precision), math.Round(mean * precision), !m.Images[j.Image]}
 }
 
-// best returns the machine with the best rating for one task of an array.
-func (p *pass) best(j *Job, free freeOf) (*Machine, rating) {
-	return p.bestOf(p.open, j, free)
+// best returns the candidate with the best rating for one task of an array.
+func (p *pass) best(j *Job, free freeFunc) (*Machine, rating) {
+	return p.bestOf(p.candidates, j, free)
 }
 
-func (p *pass) bestOf(machines []*Machine, j *Job, free freeOf) (*Machine, rating) {
-	var pick *Machine
-	var top rating
+// bestOf returns the machine with the best rating for one task of an array, or nil.
+func (p *pass) bestOf(machines []*Machine, j *Job, free freeFunc) (*Machine, rating) {
+	var best *Machine
+	var bestRating rating
 	for _, m := range machines {
-		if !j.takes(m, free(m)) || !j.AllowsZone(m.Zone, j.TasksByZone) {
+		if !j.canRunOn(m, free(m)) || !j.AllowsZone(m.Zone, j.TasksByZone) {
 			continue
 		}
 		if p.policy.FirstFit {
-			return m, top
+			return m, bestRating
 		}
-		if r := rate(j, m); pick == nil || r.better(top) {
-			pick, top = m, r
+		if r := rate(j, m); best == nil || r.better(bestRating) {
+			best, bestRating = m, r
 		}
 	}
-	return pick, top
+	return best, bestRating
 }
