--- a/internal/capacity/boots.go
+++ b/internal/capacity/boots.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	maxBootSamples = 8
+	maxBootSamples = 8 // per machine type
 	// bootDecayTime is the time constant with which a sample loses its weight: disturbances last
 	// for minutes.
 	bootDecayTime = 60 * time.Second
--- a/internal/capacity/boots_test.go
+++ b/internal/capacity/boots_test.go
@@ -52,10 +52,10 @@
 		waiting = append(waiting, PendingMachine{Offer{"small", "a", false}, 200 * time.Second})
 	}
 	usual := func(string) time.Duration { return 30 * time.Second }
-	if closed := b.StalledOffers(0, waiting, usual); !closed[Offer{"small", "a", false}] || len(closed) != 1 {
-		t.Fatalf("%v", closed)
+	if stalled := b.StalledOffers(0, waiting, usual); !stalled[Offer{"small", "a", false}] || len(stalled) != 1 {
+		t.Fatalf("%v", stalled)
 	}
-	if closed := b.StalledOffers(0, waiting[1:], usual); len(closed) != 0 {
-		t.Fatalf("%v", closed)
+	if stalled := b.StalledOffers(0, waiting[1:], usual); len(stalled) != 0 {
+		t.Fatalf("%v", stalled)
 	}
 }
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -1,6 +1,9 @@
 // Package capacity decides where machines belong and how many there should be: which block a free
 // machine is assigned to, which machines are drained, and what is rented and returned. It is pure:
 // the time is an argument.
+//
+// A block is the jobs of some teams and the machines assigned to them. One controller, the holder of
+// the block, schedules it. The pool has the machines that are assigned to no block.
 package capacity
 
 import (
@@ -16,9 +19,9 @@
 // Job is an unfinished job as capacity planning sees it.
 type Job struct {
 	placement.Job
-	Block     int
+	Block     int           // of the job's team
 	Remaining int           // tasks that are not done
-	Running   int           // of these, as far as is known
+	Running   int           // those of them that run, as far as is known
 	Deadline  core.WallTime // the earliest due time (0: none)
 	// ReadySoon is set while the job waits for jobs that run. It claims what is left once all ready
 	// jobs have claimed, and machines are rented for it, so that they have booted when it may run;
@@ -80,8 +83,8 @@
 	Assign map[core.MachineID]int // pool machines to blocks
 	Drain  []core.MachineID       // to be drained from their blocks
 	Rent   []Rental
-	Return []core.MachineID
-	Demand Demand // of the jobs that are ready now
+	Return []core.MachineID // to the cloud
+	Demand Demand           // at present; DemandTrend makes the forecast from it
 }
 
 // machineClaims is a machine and what jobs have claimed of it.
@@ -96,24 +99,26 @@
 }
 
 // arrayCPUs is what a machine has for arrays. Large machines that gangs are to use are no room for
-// arrays to come: counted as such, they made up the whole level that is kept ready, and small
-// machines were returned just before the next burst.
+// arrays to come: counted as such, they covered the whole forecast, and small machines were returned
+// just before the next burst.
 func (p *planner) arrayCPUs(r *machineClaims) float64 {
 	return p.input.Types[r.machine.Type].CPUs - r.gangCPUs
 }
 
+// planner is the state while a plan is made.
 type planner struct {
 	input       Input
 	machines    []*machineClaims
 	plan        Plan
-	claimedCPUs map[string]float64
+	claimedCPUs map[string]float64 // by team
 	// onDemandCPUs counts the CPUs of on-demand machines to be rented for work that may use spot
 	// machines.
 	onDemandCPUs float64
 }
 
-// MakePlan makes a plan. The unfinished jobs claim room on the machines in the order of claimAll;
-// unclaimed machines are returned, and machines are rented for tasks without room.
+// MakePlan makes a plan. The unfinished jobs claim room on the machines in the order of claimAll.
+// Machines are rented for tasks without room, and those of the pool that stay unclaimed are
+// returned unless the forecast needs them.
 func MakePlan(in Input) Plan {
 	p := &planner{input: in, plan: Plan{Assign: map[core.MachineID]int{}}, claimedCPUs: map[string]float64{}, machines: claimableMachines(in)}
 	readySoon := filter(sortForClaims(in.Jobs), func(j *Job) bool { return j.ReadySoon })
@@ -135,22 +140,22 @@
 // claimableMachines lists the machines that can be claimed, the smallest first, and among equal
 // ones those that have booted. A gang must not get a machine that still boots while one that has
 // booted is idle.
-func claimableMachines(in Input) (rooms []*machineClaims) {
+func claimableMachines(in Input) (claimable []*machineClaims) {
 	for _, m := range in.Machines {
 		t, ok := in.Types[m.Type]
 		if !ok || m.BootOverdue {
 			continue
 		}
-		rooms = append(rooms, &machineClaims{machine: m, free: placement.CapacityOf(t), block: m.Block, gangReserved: in.GangKinds.Has(MachineKind{m.Type, m.Spot})})
+		claimable = append(claimable, &machineClaims{machine: m, free: placement.CapacityOf(t), block: m.Block, gangReserved: in.GangKinds.Has(MachineKind{m.Type, m.Spot})})
 	}
-	sort.SliceStable(rooms, func(a, b int) bool {
-		x, y := rooms[a], rooms[b]
+	sort.SliceStable(claimable, func(a, b int) bool {
+		x, y := claimable[a], claimable[b]
 		if x.free.CPUs != y.free.CPUs {
 			return x.free.CPUs < y.free.CPUs
 		}
 		return x.machine.Ready && !y.machine.Ready
 	})
-	return rooms
+	return claimable
 }
 
 // sortForClaims sorts jobs in the order in which they claim room: gangs first, then by rank,
@@ -177,7 +182,7 @@
 // claimAll lets the ready jobs claim room, and lists the tasks that found none. The order is:
 // overdue jobs that have not started, gangs, arrays by rank, opportunistic work. Opportunistic work
 // gets what is left, in its own block too: when the machines that it used there did not count as
-// room for others, they waited until it ended by itself.
+// room for other work, that work waited until it ended by itself.
 func (p *planner) claimAll(jobs []*Job) []unmetTasks {
 	starts := overdueStarts(jobs)
 	jobs = mergeSimilar(jobs)
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -82,7 +82,7 @@
 // any more.
 func TestMissesObjectives(t *testing.T) {
 	deadline := 100.0
-	aims := []config.Objective{
+	objectives := []config.Objective{
 		{Kind: "deadline", Class: "x", DeadlineFactor: 1}, {Kind: "deadline", Class: "x", DeadlineFactor: 1.5},
 		{Kind: "wait", Class: "y", Within: 20 * time.Second}, {Kind: "finished", Class: "y", Within: 90 * time.Second},
 	}
@@ -94,7 +94,7 @@
 		age  core.WallTime
 		late bool
 	}{{x, 110_000, false}, {x, 121_000, true}, {y, 10_000, false}, {y, 59_000, false}, {y, 61_000, true}, {y, 901_000, false}, {z, 500_000, false}} {
-		if got := MissesObjectives(aims, tc.job, 0, 0, tc.age); got != tc.late {
+		if got := MissesObjectives(objectives, tc.job, 0, 0, tc.age); got != tc.late {
 			t.Errorf("class %s at age %d ms: got %v", tc.job.Class, tc.age, got)
 		}
 	}
@@ -119,7 +119,7 @@
 		t.Fatalf("16 CPUs for 40 tasks: want no rental, got %+v", p.Rent)
 	}
 	// Within a guarantee it gets all that it needs, also when it is only ready soon: the steps of
-	// pipelines waited for spot machines that were not to be had.
+	// pipelines waited for spot machines that were unavailable.
 	for _, readySoon := range []bool{false, true} {
 		j.Guaranteed, j.ReadySoon = true, readySoon
 		if p := MakePlan(in); len(p.Rent) != 1 || p.Rent[0].Spot || p.Rent[0].Count != 3 {
--- a/internal/capacity/share.go
+++ b/internal/capacity/claims.go
@@ -103,6 +103,8 @@
 			j.Zone = p.chooseZone(j, n)
 		}
 		got := p.claim(j, n, func(r *machineClaims) bool { return r.block == j.Block })
+		// One task of a starved array may use a machine reserved for gangs, in its block or, if the
+		// machine has been free for a while, in the pool.
 		if got == 0 && j.Starvation == placement.Starved && !j.Gang && !j.GangMachinesOnly {
 			j.GangMachinesOnly = true
 			got = p.claim(j, 1, func(r *machineClaims) bool {
@@ -197,7 +199,7 @@
 }
 
 // chooseZone chooses the zone for a job whose tasks must be in one zone: where the machines of its
-// block take most of them, then where most fit on all claimable machines.
+// block take most of them, then where most fit on these and unclaimed machines together.
 func (p *planner) chooseZone(j *Job, n int) (best string) {
 	type count struct{ own, all int }
 	counts := map[string]count{}
--- a/internal/capacity/guarantee.go
+++ b/internal/capacity/guarantee.go
@@ -2,14 +2,14 @@
 
 import "lichenstair/internal/config"
 
-// Guarantees decides which unfinished jobs, taken the oldest first, fit into the guarantee of their
-// team together with those before them.
+// Guarantees decides which unfinished jobs fit into the CPUs guaranteed to their team, together with
+// the jobs added before them.
 type Guarantees struct {
 	guaranteed map[string]float64 // CPUs by team
 	wanted     map[string]float64 // CPUs of the jobs so far, by team
 }
 
-// NewGuarantees returns the guarantees of the teams without any jobs.
+// NewGuarantees returns the guarantees of the teams, with no jobs added.
 func NewGuarantees(teams []config.Team) *Guarantees {
 	g := &Guarantees{guaranteed: map[string]float64{}, wanted: map[string]float64{}}
 	for _, t := range teams {
--- a/internal/capacity/late.go
+++ b/internal/capacity/objectives.go
@@ -15,23 +15,24 @@
 	// maxDeferral bounds the age up to which a job is deferred for being late: no work may wait for
 	// ever because it could not be in time.
 	maxDeferral = 15 * time.Minute
-	// maxStartWait is how long a job may wait without a started task before it is scheduled first.
-	// Users expect the start within four minutes; the remaining time is for draining a machine.
+	// maxStartWait is how long a job may wait without a started task before it is scheduled first:
+	// no user's job should seem forgotten because others are more urgent. Users expect the start
+	// within four minutes; the remaining time is for draining a machine.
 	maxStartWait = 150 * time.Second
 )
 
 // Overdue reports whether a job has waited too long without having started.
-func Overdue(readyAt, now core.WallTime, begun bool) bool {
-	return !begun && time.Duration(now-readyAt)*time.Millisecond > maxStartWait
+func Overdue(readyAt, now core.WallTime, started bool) bool {
+	return !started && time.Duration(now-readyAt)*time.Millisecond > maxStartWait
 }
 
 const (
 	// starvingAfter is how long a job may wait with nothing running before one of its tasks may use
 	// room that no other job can use.
 	starvingAfter = 45 * time.Second
-	// starvedAfter is how long it may wait before one of its tasks may use any room. Users count 90
-	// s of waiting beside a machine with room; the remaining time is for a new holder to find its
-	// machines.
+	// starvedAfter is how long it may wait before one of its tasks may use any room. Users take it
+	// as a fault if a job waits for 90 s beside a machine with room; the remaining time is for a new
+	// holder of the block to find its machines.
 	starvedAfter = 70 * time.Second
 )
 
@@ -91,7 +92,8 @@
 }
 
 // MissesObjectives reports whether a waiting job can no longer meet any of the objectives stated
-// for its class, nor its own deadline. Such a job yields to those that can still be in time.
+// for its class, nor its own deadline. Such a job yields to those that can still be in time, up to
+// the age of maxDeferral.
 func MissesObjectives(objectives []config.Objective, spec *api.Job, submittedAt, readyAt, now core.WallTime) bool {
 	age := time.Duration(now-readyAt) * time.Millisecond
 	if age > maxDeferral {
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -119,7 +119,7 @@
 // mostly done before one has booted. Therefore, unless hardly any CPUs are available, they are
 // rented only as far as CPUs have been missing for a while for arrays to be complete in time. Work
 // within a guarantee gets what it needs: users count on it at once, and pipeline steps waited for
-// spot machines that were not to be had.
+// spot machines that were unavailable.
 func (p *planner) onDemandBudget(j *Job) float64 {
 	if j.Gang || !j.Spot || j.Guaranteed {
 		return math.Inf(1)
@@ -178,15 +178,15 @@
 		queue := slices.DeleteFunc(slices.Clone(feasible), func(j *placement.Job) bool { return j.Rank != rank })
 		placement.Defer(p.input.Now, max(available, 0), 0, queue)
 		for _, j := range queue {
-			left := float64(j.Timing.Due[0]-p.input.Now) / 1000
+			secondsLeft := float64(j.Timing.Due[0]-p.input.Now) / 1000
 			switch {
-			case left <= 0:
+			case secondsLeft <= 0:
 			case j.MissedDueTimes > 0:
-				cpus += j.Timing.Work / left
+				cpus += j.Timing.Work / secondsLeft
 			default:
 				// CPUs that jobs of a higher rank use are not available to others, however much
 				// time all of them have.
-				available -= min(j.Timing.Work/left/usableTimeShare, float64(j.Tasks)*j.Need.CPUs)
+				available -= min(j.Timing.Work/secondsLeft/usableTimeShare, float64(j.Tasks)*j.Need.CPUs)
 			}
 		}
 	}
@@ -212,21 +212,22 @@
 // rent adds the cheapest machines that take n tasks of a job to the plan, and claims them. For a
 // job whose tasks must be spread it rents in as many zones as needed.
 func (p *planner) rent(j *Job, n int) {
-	onDemand := p.onDemandBudget(j)
-	best, ok := p.cheapest(j, n, onDemand)
+	budget := p.onDemandBudget(j)
+	best, ok := p.cheapest(j, n, budget)
 	if !ok {
 		return
 	}
 	t := p.input.Types[best.offer.Type]
 	count := min((n+best.tasksPerMachine-1)/best.tasksPerMachine, maxRental)
 	if !best.offer.Spot && !j.Gang && j.Spot && !j.Guaranteed {
-		count = int(min(float64(count), onDemand/t.CPUs))
+		count = int(min(float64(count), budget/t.CPUs))
 		p.onDemandCPUs += float64(count) * t.CPUs
 	}
 	if j.SpreadZones {
 		count = min(count, (j.Tasks+1)/2)
 	}
 	for i := range count {
+		// The ID is a placeholder: the cloud gives IDs when it rents the machines out.
 		p.machines = append(p.machines, &machineClaims{
 			machine: &Machine{ID: core.MachineID("rented" + string(rune('0'+i))), Type: best.offer.Type, Zone: best.offer.Zone, Spot: best.offer.Spot, Block: j.Block},
 			free:    placement.CapacityOf(t), block: j.Block, gangReserved: p.input.GangKinds.Has(MachineKind{best.offer.Type, best.offer.Spot}),
@@ -243,9 +244,9 @@
 // the cloud has.
 const maxRental = 10
 
-// cheapest finds the offer that takes up to n tasks of a job at the lowest cost per task. onDemand
-// is how many CPUs of on-demand machines may be rented for it.
-func (p *planner) cheapest(j *Job, n int, onDemand float64) (best rentalOption, found bool) {
+// cheapest finds the offer that takes up to n tasks of a job at the lowest cost per task. budget is
+// how many CPUs of on-demand machines may be rented for it.
+func (p *planner) cheapest(j *Job, n int, budget float64) (best rentalOption, found bool) {
 	for _, name := range core.SortedKeys(p.input.Types) {
 		t := p.input.Types[name]
 		fit := tasksThatFit(j.Need, placement.CapacityOf(t), min(n, placement.MaxTasks))
@@ -255,7 +256,7 @@
 		for _, zone := range t.Zones {
 			for _, spot := range []bool{true, false} {
 				offer := Offer{name, zone, spot}
-				if !spot && onDemand < t.CPUs || !p.rentable(j, offer) {
+				if !spot && budget < t.CPUs || !p.rentable(j, offer) {
 					continue
 				}
 				price := t.Price
@@ -272,7 +273,7 @@
 	return best, found
 }
 
-// tasksThatFit returns how many tasks of a need fit into a room, up to most.
+// tasksThatFit returns how many tasks that need so much each fit into room, at most most.
 func tasksThatFit(need, room placement.Resources, most int) (n int) {
 	for n < most && need.Fits(room) {
 		room = room.Sub(need)
--- a/internal/capacity/shapes.go
+++ b/internal/capacity/shapes.go
@@ -13,7 +13,7 @@
 type GangShape struct {
 	Need  placement.Resources
 	Types string // the allowed types, joined
-	Spot  bool
+	Spot  bool   // may use spot machines
 }
 
 // GangShapes remembers the shapes of gangs that arrived recently, so that machines which alone can
@@ -54,7 +54,7 @@
 }
 
 // GangMachinesOnly reports whether a job's tasks fit only on kinds of machine that are reserved for
-// gangs.
+// gangs, or on none.
 func GangMachinesOnly(j *placement.Job, types map[string]api.MachineType, reserved GangKinds) bool {
 	for name, t := range types {
 		if j.Need.Fits(placement.CapacityOf(t)) && j.Allows(name, j.Zone, false) &&
@@ -94,7 +94,8 @@
 }
 
 // GangKinds lists the kinds of machine that are reserved for gangs: a recent gang fits there, does
-// not fit on some other type that arrays can use, and cannot wait until a machine boots.
+// not fit on some other type that arrays can use, and cannot wait until a machine boots. It forgets
+// shapes that were last seen more than shapeRetention ago.
 func (s *GangShapes) GangKinds(now core.Time, objectives []config.Objective, types map[string]api.MachineType) GangKinds {
 	out := GangKinds{}
 	for k, seen := range s.seen {
--- a/internal/capacity/trend.go
+++ b/internal/capacity/trend.go
@@ -11,7 +11,7 @@
 
 // Demand is an amount of capacity, needed now or forecast.
 type Demand struct {
-	GangMachines float64 // of the kinds reserved for gangs
+	GangMachines float64 // number of machines of the kinds reserved for gangs
 	SpotCPUs     float64 // for arrays that may use spot machines
 	// GangRate is how many gang-reserved machines arriving gangs need per second.
 	GangRate float64
@@ -41,15 +41,16 @@
 	spotWindow = 180 * time.Second
 	// gangRateWindow is the time constant of the rate of gangs.
 	gangRateWindow = 120 * time.Second
-	// shortageWindow is how long a shortage must last to count.
+	// shortageWindow is the time constant of the mean of missing CPUs: shorter shortages count
+	// little.
 	shortageWindow = 60 * time.Second
 	// headroom is how many average arrivals within a guarantee are kept ready on spot machines
 	// beyond the mean. docs/results.md compares 1.5, 3, 5 and 6.
 	headroom = 5.0
 	// arrivalWeight is the weight of the newest arrival in the averages over arrivals.
 	arrivalWeight = 0.1
-	// An arrival that is overdue by quietGaps times the average gap, and by at least quietTime,
-	// probably does not come: recent demand then no longer predicts the future.
+	// If nothing has arrived for quietGaps times the average gap, and for at least quietTime,
+	// arrivals have probably ended: recent demand then no longer predicts the future.
 	quietGaps = 6
 	quietTime = 15 * time.Second
 	// quietDecayTime is the time constant with which the forecast decays then.
@@ -113,9 +114,9 @@
 
 // Forecast returns the demand for which machines should be kept ready.
 func (t *DemandTrend) Forecast() Demand {
-	l := Demand{GangRate: t.gangRate, MissingCPUs: t.missingCPUs}
+	forecast := Demand{GangRate: t.gangRate, MissingCPUs: t.missingCPUs}
 	if t.spotWeight > 0 {
-		l.SpotCPUs = t.spotSum/t.spotWeight + t.guaranteedArrival*headroom
+		forecast.SpotCPUs = t.spotSum/t.spotWeight + t.guaranteedArrival*headroom
 	}
-	return l
+	return forecast
 }
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -73,7 +73,7 @@
 // jobGroup is a group of arrays, in queue order, whose tasks can use the same machines and rate
 // them alike. Thousands of single-task jobs mostly form one group. When each was examined by
 // itself, every start made all of them search for a machine again: 10 ms a pass with 2,000 jobs,
-// all the CPU time that a controller with a sixteenth of a core has.
+// which at a pass every 150 ms is all that a sixteenth of a core has.
 type jobGroup struct {
 	jobs      []*Job
 	positions []int // of the jobs in the queue
--- a/internal/placement/bench_test.go
+++ b/internal/placement/bench_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// benchMachines makes n machines of three sizes of which the share used is booked.
+// benchMachines makes n machines of three sizes. used is the booked share of their CPUs.
 func benchMachines(r *rand.Rand, n int, used float64) (machines []*Machine) {
 	one := Resources{CPUs: 1, MemoryGB: 2}
 	for i := range n {
@@ -61,10 +61,11 @@
 	return machines
 }
 
-// benchArrays makes n arrays with 50 waiting tasks and up to more additional ones.
-func benchArrays(r *rand.Rand, n, more int) (jobs []*Job) {
+// benchArrays makes n arrays with 50 waiting tasks each and a random number, below extra, of
+// additional ones.
+func benchArrays(r *rand.Rand, n, extra int) (jobs []*Job) {
 	for i := range n {
-		tasks := 50 + r.IntN(more)
+		tasks := 50 + r.IntN(extra)
 		jobs = append(jobs, &Job{ID: core.JobID(fmt.Sprint("req-", i)), Team: "red", ReadyAt: core.WallTime(i), Need: Resources{CPUs: 1, MemoryGB: 2}, Tasks: tasks, Waiting: tasks, Estimate: 30 * time.Second, Image: fmt.Sprint(i)})
 	}
 	return jobs
--- a/internal/placement/dueorder.go
+++ b/internal/placement/dueorder.go
@@ -23,18 +23,18 @@
 		guaranteed bool
 		at         core.WallTime
 	}
-	byLate := map[int][]*Job{}
+	byMissed := map[int][]*Job{}
 	for _, j := range jobs {
-		byLate[j.MissedDueTimes] = append(byLate[j.MissedDueTimes], j)
+		byMissed[j.MissedDueTimes] = append(byMissed[j.MissedDueTimes], j)
 	}
-	for _, late := range core.SortedKeys(byLate) {
-		group := byLate[late]
+	for _, missed := range core.SortedKeys(byMissed) {
+		group := byMissed[missed]
 		slices.SortStableFunc(group, compareInQueue)
 		var slots []queueSlot
 		for _, j := range group {
 			slots = append(slots, queueSlot{j.Guaranteed, j.queueTime()})
 		}
-		due := func(j *Job) core.WallTime { return j.Timing.Due[min(late, len(j.Timing.Due)-1)] }
+		due := func(j *Job) core.WallTime { return j.Timing.Due[min(missed, len(j.Timing.Due)-1)] }
 		slices.SortStableFunc(group, func(a, b *Job) int { return cmp.Compare(due(a), due(b)) })
 		for i, j := range group {
 			j.Guaranteed, j.QueueTime = slots[i].guaranteed, slots[i].at
--- a/internal/placement/gang.go
+++ b/internal/placement/gang.go
@@ -58,7 +58,7 @@
 	}
 	var picks []*Machine
 	for i := range options {
-		n := 1
+		n := 1 // tasks of the gang on this machine, with the next one
 		for len(picks) < j.Waiting && !options[i].machine.full(n) && j.Need.Fits(options[i].left) && j.AllowsZone(options[i].machine.Zone, zones) {
 			n++
 			options[i].left = options[i].left.Sub(j.Need)
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -18,8 +18,8 @@
 	// Starving jobs may start one task in the room that gangs leave on machines reserved for them.
 	Starving
 	// Starved jobs may start one task on any machine that has had room for a while, even if a gang
-	// could use the machine or it is being drained for another block. It may also use what remains
-	// of the team's quota although a larger job is next.
+	// could use the machine or it is being drained for another block. The task may also use what
+	// remains of its team's quota although a larger job of the team is next.
 	Starved
 )
 
@@ -30,26 +30,28 @@
 	Rank int // higher is scheduled first
 	// ReadyAt is the time since which the job may run.
 	ReadyAt     core.WallTime
-	Need        Resources
-	Gang        bool
-	Tasks       int // all tasks of the job
-	Waiting     int // tasks that wait for a machine
-	Types       []string
-	Zone        string
-	OneZone     bool
-	SpreadZones bool
-	Spot        bool
-	Image       string
+	Need        Resources // of one task
+	Gang        bool      // all tasks start at once; other jobs are arrays
+	Tasks       int       // all tasks of the job
+	Waiting     int       // tasks that wait for a machine
+	Types       []string  // allowed machine types (nil: all)
+	Zone        string    // required zone ("": any)
+	OneZone     bool      // all tasks must be in the same zone
+	SpreadZones bool      // no zone may have more than half of the tasks, rounded up
+	Spot        bool      // may use spot machines
+	Image       string    // container image
 	// Estimate is the expected run time of one task.
 	Estimate time.Duration
-	// TasksByZone counts the job's tasks that are on machines, by zone.
+	// TasksByZone counts the job's tasks that are on machines, by zone. It is needed only with
+	// OneZone or SpreadZones.
 	TasksByZone map[string]int
 	// ExcludedMachines are machines on which the job must not be tried for now.
 	ExcludedMachines map[core.MachineID]bool
 	// GangMachinesOnly is set if the job's tasks fit only on machines that are reserved for gangs.
 	GangMachinesOnly bool
 	// MissedDueTimes counts the due times that the job misses or is deferred past, the earliest
-	// first.
+	// first; jobs with fewer are scheduled first. The caller sets it to a high number for a job that
+	// can meet none of its objectives.
 	MissedDueTimes int
 	// Timing is set for arrays that have a due time.
 	Timing Timing
@@ -61,17 +63,18 @@
 	Overdue bool
 	// Starvation is the job's level of starvation while it has nothing running.
 	Starvation Starvation
-	// Failing is set if no task of the job has succeeded so far. The job may use free room but
-	// holds no reservation.
+	// Failing is set if the job has failed on several machines and none of its tasks has succeeded.
+	// It may use free room but holds no reservation.
 	Failing bool
-	// Guaranteed is set if the job fits into the guarantee of its team.
+	// Guaranteed is set if the job fits into the CPUs guaranteed to its team. What a team uses
+	// beyond them is borrowed.
 	Guaranteed bool
 	// QueueTime is the job's position in the queue if it differs from ReadyAt; 0 means ReadyAt.
 	QueueTime core.WallTime
 }
 
-// Opportunistic reports whether the job is of the lowest rank and has no stated time, so that it
-// only uses otherwise idle machines.
+// Opportunistic reports whether the job is of the lowest rank and not time-sensitive, so that it
+// uses only what others leave.
 func (j *Job) Opportunistic() bool { return !j.TimeSensitive && j.Rank == Rank(api.RankBestEffort) }
 
 // queueTime is the job's position among jobs that are equal in all other respects.
@@ -119,7 +122,7 @@
 	return len(zones) > 1
 }
 
-// TopRank is above all ranks that users can state.
+// TopRank is above all ranks that users can state. Overdue jobs get it.
 const TopRank = 4
 
 // Rank is the numeric value of a rank's name; higher is scheduled first.
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -31,9 +31,9 @@
 	Zone     string
 	Spot     bool
 	Total    Resources
-	Booked   Resources
-	Releases []Release
-	Images   map[string]bool
+	Booked   Resources       // by tasks that run or are to start
+	Releases []Release       // of what is booked, in no order
+	Images   map[string]bool // present on the machine
 	// Tasks counts the tasks on the machine, exited ones included; MaxTasks is its bound (0: no
 	// bound).
 	Tasks    int
@@ -53,7 +53,7 @@
 	Unreliable bool
 }
 
-// full reports whether n more tasks would exceed the machine's bound.
+// full reports whether n more tasks would exceed the machine's bound on tasks.
 func (m *Machine) full(n int) bool { return m.MaxTasks > 0 && m.Tasks+n > m.MaxTasks }
 
 // leavesGangRoom reports whether a task of an array takes nothing from the gangs for which the
@@ -69,9 +69,9 @@
 // Team is a team's use of resources and its quota.
 type Team struct {
 	Used, Quota Resources
-	// waitsForQuota is the job that was skipped because of the quota. The rest of the quota is
+	// quotaWaiter is the first job that was skipped because of the quota. The rest of the quota is
 	// withheld for it; otherwise smaller later jobs would use it up bit by bit.
-	waitsForQuota *Job
+	quotaWaiter *Job
 }
 
 // Allows reports whether a need fits into what remains of the team's quota.
@@ -80,7 +80,7 @@
 // WithholdsFrom reports whether the rest of the team's quota is withheld from a job because a
 // larger one is next.
 func (t *Team) WithholdsFrom(j *Job) bool {
-	return t.waitsForQuota != nil && t.waitsForQuota != j && !j.mayBypass(t.waitsForQuota)
+	return t.quotaWaiter != nil && t.quotaWaiter != j && !j.mayBypass(t.quotaWaiter)
 }
 
 // Start is the decision to start one task of a job on a machine.
@@ -101,10 +101,13 @@
 
 // Policy switches parts of the algorithm off, for comparison in tests and simulations.
 type Policy struct {
-	FirstFit      bool
+	// FirstFit starts arrays in queue order, each task on the first machine that has room.
+	FirstFit bool
+	// NoReservation lets later jobs delay the job at the head of the queue.
 	NoReservation bool
 }
 
+// pass is the state of one scheduling pass.
 type pass struct {
 	now      core.Time
 	policy   Policy
@@ -132,8 +135,8 @@
 	}
 }
 
-// Schedule decides what can start now. It updates machines, jobs and teams as if the tasks had been
-// started.
+// Schedule decides what can start now. It sorts the jobs, and updates machines, jobs and teams as if
+// the tasks had been started.
 func Schedule(now core.Time, machines []*Machine, jobs []*Job, teams map[string]*Team, policy Policy) Result {
 	p := &pass{now: now, policy: policy, machines: machines, teams: teams}
 	Sort(jobs)
@@ -175,7 +178,7 @@
 func (p *pass) startArrayTasks(j *Job) bool {
 	var ranked *ranking
 	if !j.OneZone && !j.SpreadZones && !p.policy.FirstFit {
-		ranked = p.rank(j)
+		ranked = p.rankMachines(j)
 	}
 	for j.Waiting > 0 {
 		if !p.hasQuota(j, 1) {
@@ -206,8 +209,8 @@
 		return false
 	}
 	if !t.Allows(j.Need.Scale(float64(tasks))) {
-		if t.waitsForQuota == nil {
-			t.waitsForQuota = j
+		if t.quotaWaiter == nil {
+			t.quotaWaiter = j
 		}
 		return false
 	}
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -144,9 +144,9 @@
 
 // A job that has waited long with nothing running starts one task: first where it takes nothing
 // from the gangs for which a machine is reserved, then also on a machine that is reserved or
-// draining, and although a larger job of its team is next. Users count 90 s of waiting beside a
-// machine with room; without this rule the job waited as long as a gang that needed nearly all of
-// the team's quota. A starving gang does not bypass an overdue job.
+// draining, and although a larger job of its team is next. Users take it as a fault if a job waits
+// for 90 s beside a machine with room. Without this rule the job waited as long as a gang that
+// needed nearly all of the team's quota. A starving gang does not bypass an overdue job.
 func TestStarvingJobsStart(t *testing.T) {
 	reserved := func(gang, arrays float64) func(*Machine, *Team) {
 		return func(m *Machine, _ *Team) {
--- a/internal/placement/ranking.go
+++ b/internal/placement/ranking.go
@@ -29,8 +29,8 @@
 	return last
 }
 
-// rank rates the machines for an array whose tasks may be in any zone.
-func (p *pass) rank(j *Job) *ranking {
+// rankMachines rates the machines for an array whose tasks may be in any zone.
+func (p *pass) rankMachines(j *Job) *ranking {
 	r := &ranking{job: j}
 	for i, m := range p.candidates {
 		if j.canRunOn(m, m.Free()) {
@@ -50,8 +50,8 @@
 			heap.Pop(r)
 			continue
 		}
-		if now := rate(r.job, top.machine); now != top.rating {
-			top.rating = now
+		if current := rate(r.job, top.machine); current != top.rating {
+			top.rating = current
 			heap.Fix(r, 0)
 			continue
 		}
--- a/internal/placement/rating.go
+++ b/internal/placement/rating.go
@@ -4,9 +4,9 @@
 	"math"
 )
 
-// Score rates a need on a machine; lower is better. It is the paper's balance measure minus one,
-// multiplied by its fullness modifier. mean is the average utilization of the machine's resources
-// including the need.
+// Score rates a need on a machine; lower is better. It is the balance measure of Backfill Balanced
+// minus one, multiplied by the fullness modifier of the same paper (see the package comment). mean
+// is the average utilization of the machine's resources including the need.
 func Score(m *Machine, n Resources) (score, mean float64) {
 	most, sum, k := 0.0, 0.0, 0.0
 	add := func(booked, need, total float64) {
