--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -5,15 +5,18 @@
 	"time"
 )
 
-// Loop runs a node's code one piece at a time and tells it the time. A node's
-// state is touched only from its loop.
+// Loop is the event loop and the clock of a node. It runs callbacks one at a time. A node's
+// state is accessed only from its loop.
 type Loop interface {
+	// Now returns the monotonic time.
 	Now() Time
+	// WallNow returns the time of day.
 	WallNow() WallTime
+	// After runs f on the loop once d has passed.
 	After(d time.Duration, f func())
 }
 
-// Request is a call to another party over HTTP.
+// Request is an HTTP request to another service or to a worker.
 type Request struct {
 	Addr    string
 	Method  string
@@ -22,94 +25,95 @@
 	Timeout time.Duration
 }
 
-// Response is what came of a Request. Status 0 means that no answer came.
+// Response is the outcome of a Request. Status 0 means that no response was received.
 type Response struct {
 	Status int
 	Body   []byte
 }
 
-// Caller sends requests; done runs on the loop, exactly once.
+// Caller sends HTTP requests. It runs done on the loop, exactly once per request.
 type Caller interface {
 	Call(r Request, done func(Response))
 }
 
-// EventLoop is the Loop of a running process. What waits for it stands in three
-// lanes: reports, the node's own timers and answers, and users. The first two
-// take turns, so that neither a burst of reports keeps a renewal waiting nor the
-// other way round; users are served when both are empty, and in every eighth turn.
+// EventLoop is the Loop of a running process. It has three queues: reports from workers,
+// the node's own timers and responses, and user requests. The first two alternate, so that
+// a burst of reports cannot delay a lease renewal, nor the other way round. User requests
+// are served when both are empty, and first in every eighth iteration.
 type EventLoop struct {
-	start   time.Time
-	reports chan func()
-	own     chan func()
-	users   chan func()
-	quit    chan struct{}
-	once    sync.Once
+	start    time.Time
+	reports  chan func()
+	internal chan func()
+	users    chan func()
+	quit     chan struct{}
+	stopOnce sync.Once
 }
 
-// NewEventLoop makes a loop for at most conns connections, each of which can bring one
-// request at a time: no report is refused for want of a place in the queue, not
-// even if those of all machines come at once. Run must be called for anything to
-// happen.
+// NewEventLoop returns a loop for at most conns connections, each of which can have one
+// request pending. The queues hold that many entries, so that no report is refused because
+// a queue is full, even if all machines report at once. Callbacks run only once Run has
+// been called.
 func NewEventLoop(conns int) *EventLoop {
 	return &EventLoop{
-		start: time.Now(), reports: make(chan func(), conns), own: make(chan func(), conns), users: make(chan func(), maxUsers), quit: make(chan struct{}),
+		start: time.Now(), reports: make(chan func(), conns), internal: make(chan func(), conns), users: make(chan func(), maxQueuedUsers), quit: make(chan struct{}),
 	}
 }
 
-// maxUsers bounds what waits for users; the rest is told to come back.
-const maxUsers = 512
+// maxQueuedUsers bounds the queued user requests; the rest are refused, and users are asked
+// to retry.
+const maxQueuedUsers = 512
 
-// Now reads the steady clock.
+// Now returns the time since the loop was created, by the monotonic clock.
 func (l *EventLoop) Now() Time { return Time(time.Since(l.start)) }
 
-// WallNow reads the time of day.
+// WallNow returns the time of day.
 func (l *EventLoop) WallNow() WallTime { return WallTime(time.Now().UnixMilli()) }
 
 // After runs f on the loop once d has passed.
 func (l *EventLoop) After(d time.Duration, f func()) { time.AfterFunc(d, func() { l.Post(f) }) }
 
-// Post runs f on the loop soon. It waits for a place in the queue, so it must not
-// be called from the loop itself.
+// Post queues f to run on the loop. It blocks while the queue is full, so it must not be
+// called from the loop itself.
 func (l *EventLoop) Post(f func()) {
 	select {
-	case l.own <- f:
+	case l.internal <- f:
 	case <-l.quit:
 	}
 }
 
-// PostReport runs f, which takes in a report. It tells false when the queue is
-// full, so that callers can refuse instead of waiting.
-func (l *EventLoop) PostReport(f func()) bool { return try(l.reports, f) }
+// PostReport queues f, which handles a report. It returns false if the queue is full, so
+// that callers can refuse a request instead of waiting.
+func (l *EventLoop) PostReport(f func()) bool { return tryPost(l.reports, f) }
 
-// PostUser is the same for users' requests and health checks.
-func (l *EventLoop) PostUser(f func()) bool { return try(l.users, f) }
+// PostUser is like PostReport, for users' requests and health checks.
+func (l *EventLoop) PostUser(f func()) bool { return tryPost(l.users, f) }
 
-func try(lane chan func(), f func()) bool {
+func tryPost(queue chan func(), f func()) bool {
 	select {
-	case lane <- f:
+	case queue <- f:
 		return true
 	default:
 		return false
 	}
 }
 
-// Run serves the loop until Stop.
+// Run executes queued functions until Stop is called.
 func (l *EventLoop) Run() {
 	for turn := 0; ; turn++ {
-		first, second := l.reports, l.own
+		first, second := l.reports, l.internal
 		switch {
 		case turn%8 == 7:
-			first, second = l.users, l.own
+			first, second = l.users, l.internal
 		case turn%2 == 1:
 			first, second = second, first
 		}
-		if serve(first) || serve(second) {
+		if runNext(first) || runNext(second) {
 			continue
 		}
 		select {
 		case f := <-l.reports:
 			f()
-		case f := <-l.own:
+		case f := <-l.internal:
 			f()
 		case f := <-l.users:
 			f()
@@ -119,10 +123,10 @@
 	}
 }
 
-// serve runs what waits longest in a lane, if anything does.
-func serve(lane chan func()) bool {
+// runNext runs the oldest function of a queue and returns whether there was one.
+func runNext(queue chan func()) bool {
 	select {
-	case f := <-lane:
+	case f := <-queue:
 		f()
 		return true
 	default:
@@ -130,5 +134,5 @@
 	}
 }
 
-// Stop ends Run.
-func (l *EventLoop) Stop() { l.once.Do(func() { close(l.quit) }) }
+// Stop makes Run return.
+func (l *EventLoop) Stop() { l.stopOnce.Do(func() { close(l.quit) }) }
--- a/internal/core/loop_test.go
+++ b/internal/core/loop_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A burst of reports must not keep the node's own timers waiting until it is over:
-// among them is the renewal of its tenure. Nor may users be left out for ever.
-func TestLanesTakeTurns(t *testing.T) {
+// The queues must take turns: a burst of reports must not delay the node's own timers until
+// it is over, as the renewal of its lease is among them, and users must not starve.
+func TestQueuesTakeTurns(t *testing.T) {
 	l := NewEventLoop(64)
 	var order []string
-	note := func(what string) func() {
+	record := func(what string) func() {
 		return func() {
 			if order = append(order, what); len(order) == 65 {
 				l.Stop()
@@ -18,19 +18,19 @@
 		}
 	}
 	for range 60 {
-		if !l.PostReport(note("report")) {
-			t.Fatal("a report was refused though each connection has a place")
+		if !l.PostReport(record("report")) {
+			t.Fatal("a report was refused though the queue has a place for each connection")
 		}
 	}
 	for range 4 {
-		l.Post(note("own"))
+		l.Post(record("own"))
 	}
-	l.PostUser(note("user"))
+	l.PostUser(record("user"))
 	l.Run()
 	if slices.Contains(order[10:], "own") {
-		t.Fatalf("own work waited behind reports: %v", order[:20])
+		t.Fatalf("own work was delayed by reports: %v", order[:20])
 	}
 	if slices.Contains(order[10:], "user") {
-		t.Fatalf("a user waited behind everything: %v", order[:20])
+		t.Fatalf("a user request was delayed by everything else: %v", order[:20])
 	}
 }
--- a/internal/core/set_test.go
+++ b/internal/core/set_test.go
@@ -6,30 +6,31 @@
 	"testing"
 )
 
-// A set must agree with a plain map, whatever is added in which order.
-func TestSetAgainstMap(t *testing.T) {
+// A set has the same members as a plain map after random additions, also after a JSON round
+// trip, and malformed JSON is rejected.
+func TestIndexSetMatchesMap(t *testing.T) {
 	for seed := range uint64(30) {
 		r := rand.New(rand.NewPCG(seed, 7))
 		var s IndexSet
-		plain := map[int]bool{}
+		want := map[int]bool{}
 		for range 200 {
 			lo := r.IntN(300)
 			hi := lo + r.IntN(1+r.IntN(20))
 			s.AddRange(lo, hi)
 			for i := lo; i <= hi; i++ {
-				plain[i] = true
+				want[i] = true
 			}
 			raw, _ := json.Marshal(s)
-			var back IndexSet
-			if err := json.Unmarshal(raw, &back); err != nil || back.Len() != len(plain) {
-				t.Fatalf("seed %d: %s holds %d, want %d (%v)", seed, raw, back.Len(), len(plain), err)
+			var decoded IndexSet
+			if err := json.Unmarshal(raw, &decoded); err != nil || decoded.Len() != len(want) {
+				t.Fatalf("seed %d: %s holds %d, want %d (%v)", seed, raw, decoded.Len(), len(want), err)
 			}
 			for i := range 330 {
-				if s.Has(i) != plain[i] {
+				if s.Has(i) != want[i] {
 					t.Fatalf("seed %d: Has(%d) = %v in %s", seed, i, s.Has(i), raw)
 				}
 				next := i
-				for plain[next] {
+				for want[next] {
 					next++
 				}
 				if got := s.NextMissing(i); got != next {
@@ -41,7 +42,7 @@
 	var s IndexSet
 	for _, bad := range []string{`[1]`, `[3,2]`, `[-1,2]`, `{}`} {
 		if json.Unmarshal([]byte(bad), &s) == nil {
-			t.Errorf("%s was taken", bad)
+			t.Errorf("%s was accepted", bad)
 		}
 	}
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,6 +1,6 @@
-// Package core holds what every other package builds on: small types for ids,
-// versions and times, sets of task numbers, and the loop and caller through
-// which a node meets the world.
+// Package core holds what every other package builds on: types for identifiers, versions
+// and times, sets of task indices, and the event loop and HTTP caller through which a node
+// interacts with its environment.
 package core
 
 import (
@@ -11,66 +11,68 @@
 )
 
 type (
-	// Term is the number of one grant; it rises and is never reused.
+	// Term is the number of one grant, of the leadership or of a block. It increases and is
+	// never reused.
 	Term uint64
-	// Session counts the sessions of a worker.
+	// Session numbers the sessions of a worker.
 	Session uint64
-	// Sequence orders the messages of one season of a worker.
+	// Sequence orders the messages within one session of a worker.
 	Sequence uint64
-	// Attempt tells one start of a task from another.
+	// Attempt distinguishes the starts of a task.
 	Attempt uint64
 	// Revision counts the changes of the state service.
 	Revision uint64
-	// LeaseID is a lease of the state service.
+	// LeaseID identifies a lease of the state service.
 	LeaseID uint64
-	// JobID names a job.
+	// JobID identifies a job.
 	JobID string
-	// MachineID names a machine.
+	// MachineID identifies a machine.
 	MachineID string
-	// Host names a controller.
+	// Host is the name of a controller.
 	Host string
-	// WallTime is a time of day in milliseconds since 1970.
+	// WallTime is a wall-clock time in milliseconds since the Unix epoch.
 	WallTime int64
 )
 
-// Time is a reading of this process's steady clock.
+// Time is a reading of this process's monotonic clock.
 type Time time.Duration
 
-// Add returns t moved by d.
+// Add returns t+d.
 func (t Time) Add(d time.Duration) Time { return t + Time(d) }
 
-// Sub returns the time between u and t.
+// Sub returns t-u.
 func (t Time) Sub(u Time) time.Duration { return time.Duration(t - u) }
 
-// Seconds turns an amount of the wire into a duration.
+// Seconds converts a number of seconds, as used on the wire, into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// MaxClockDrift bounds how far steady clocks of two machines drift apart, doubled so
-// that both ends of a comparison are covered.
+// MaxClockDrift bounds the relative drift between the monotonic clocks of two machines,
+// doubled so that both ends of a comparison are covered.
 const MaxClockDrift = 0.001
 
-// WithDrift lengthens d by the drift of clocks.
+// WithDrift returns d lengthened by the maximum clock drift.
 func WithDrift(d time.Duration) time.Duration { return d + time.Duration(float64(d)*MaxClockDrift) }
 
-// TaskID names a task of a job.
+// TaskID identifies a task of a job.
 type TaskID struct {
 	Job   JobID
 	Index int
 }
 
+// String returns the form <job>/<index>.
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTaskID reads a task's name.
+// ParseTaskID parses the form <job>/<index>.
 func ParseTaskID(s string) (TaskID, error) {
 	job, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
 	if !ok || err != nil || n < 0 || job == "" {
-		return TaskID{}, fmt.Errorf("not a task: %q", s)
+		return TaskID{}, fmt.Errorf("invalid task ID %q: want <job>/<index>", s)
 	}
 	return TaskID{JobID(job), n}, nil
 }
 
-// Newer tells whether (s, t) is newer than (s2, t2).
+// Newer returns whether message t of session s is newer than message t2 of session s2.
 func Newer(s Session, t Sequence, s2 Session, t2 Sequence) bool {
 	return s > s2 || s == s2 && t > t2
 }
