--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -1,5 +1,5 @@
-// Package peer carries hints between controllers over TCP, in a binary format
-// of our own. A hint speeds things up; nothing that must hold depends on it.
+// Package peer exchanges hints between controllers over TCP, in a binary format. A hint
+// only improves speed; correctness must not depend on it.
 package peer
 
 import (
@@ -11,56 +11,58 @@
 	"lichenstair/internal/core"
 )
 
-// A frame is: 'l' 's', a version, a kind, the length of the payload (four
-// bytes, big endian), and the payload. Numbers in a payload are varints, texts
-// have their length before them. A receiver drops kinds it does not know, so
-// that kinds can be added; a change of a payload needs a new version.
+// A frame is: 'l' 's', a version, a kind, the length of the payload (four bytes, big
+// endian), and the payload. Integers in a payload are varints; strings have a length byte
+// before them. A receiver ignores frames of unknown kinds, so that kinds can be added; a
+// change of a payload needs a new version.
 const (
 	magic0, magic1 = 'l', 's'
 	version        = 4
 	headerSize     = 8
-	// MaxPayload bounds a frame.
+	// MaxPayload bounds the payload of a frame, in bytes.
 	MaxPayload = 32 << 10
 
-	kindBeat      = 1
-	kindCancelled = 2
+	kindHeartbeat     = 1
+	kindCancellations = 2
 )
 
-// Heartbeat is what a controller tells the others, about twice a second.
+// Heartbeat is the status that a controller sends to the others, about twice a second.
 type Heartbeat struct {
 	Host    core.Host
 	LeaseID core.LeaseID
-	// Staleness is how long ago the state service proved the sender up to date.
+	// Staleness is the time since the sender's copy of the state was last confirmed to be
+	// up to date.
 	Staleness time.Duration
-	// WriteRate is how many changes a second the sender has made lately at the state
-	// service, in tenths.
+	// WriteRate is the sender's recent rate of changes at the state service, in tenths of a
+	// change per second.
 	WriteRate uint64
 	Blocks    []BlockHint
 	Running   []RunningHint
 	Misrouted []MisroutedHint
-	// Failing lists jobs that have only failed so far and are tried one task at a time.
+	// Failing lists the jobs whose attempts have all failed so far and that are tried one
+	// task at a time.
 	Failing []core.JobID
 }
 
-// BlockHint is what a holder tells of its block.
+// BlockHint is a holder's summary of its block.
 type BlockHint struct {
 	Number         int
 	Term           core.Term
 	Placing        bool
-	WaitingTasks   int // tasks
+	WaitingTasks   int // tasks that wait to be placed
 	LiveMachines   int // machines that report to the holder
-	SilentMachines int // machines that have stopped to
+	SilentMachines int // machines that have stopped reporting to it
 	IdleMachines   []core.MachineID
 }
 
-// MisroutedHint counts the machines of another holder's block that have lately
-// come to the sender to report.
+// MisroutedHint counts the machines of another holder's block that have recently reported
+// to the sender.
 type MisroutedHint struct {
 	Number   int
 	Machines int
 }
 
-// RunningHint counts the tasks of a job that run.
+// RunningHint counts the running tasks of a job.
 type RunningHint struct {
 	Job   core.JobID
 	Tasks int
@@ -71,14 +73,15 @@
 	maxIdle    = 64
 	maxRunning = 200
 	maxFailing = 200
-	// maxCancelled bounds the jobs of a frame that tells of cancellations.
-	maxCancelled = 200
+	// maxCancellations bounds the jobs of a frame of cancellations.
+	maxCancellations = 200
 )
 
-// EncodeHeartbeat makes a frame of a beat; what exceeds its bounds is left out.
+// EncodeHeartbeat encodes a heartbeat as a frame. List entries beyond the limits are left
+// out.
 func EncodeHeartbeat(b Heartbeat) []byte {
 	p := make([]byte, headerSize, 256)
-	p = putText(p, string(b.Host))
+	p = appendString(p, string(b.Host))
 	p = binary.AppendUvarint(p, uint64(b.LeaseID))
 	p = binary.AppendUvarint(p, uint64(max(b.Staleness, 0)/time.Millisecond))
 	p = binary.AppendUvarint(p, b.WriteRate)
@@ -98,13 +101,13 @@
 		idle := h.IdleMachines[:min(len(h.IdleMachines), maxIdle)]
 		p = binary.AppendUvarint(p, uint64(len(idle)))
 		for _, id := range idle {
-			p = putText(p, string(id))
+			p = appendString(p, string(id))
 		}
 	}
 	running := b.Running[:min(len(b.Running), maxRunning)]
 	p = binary.AppendUvarint(p, uint64(len(running)))
 	for _, r := range running {
-		p = putText(p, string(r.Job))
+		p = appendString(p, string(r.Job))
 		p = binary.AppendUvarint(p, uint64(r.Tasks))
 	}
 	misrouted := b.Misrouted[:min(len(b.Misrouted), maxBlocks)]
@@ -116,94 +119,96 @@
 	failing := b.Failing[:min(len(b.Failing), maxFailing)]
 	p = binary.AppendUvarint(p, uint64(len(failing)))
 	for _, id := range failing {
-		p = putText(p, string(id))
+		p = appendString(p, string(id))
 	}
-	return seal(p, kindBeat)
+	return putHeader(p, kindHeartbeat)
 }
 
-// seal fills in the header of a frame.
-func seal(p []byte, kind byte) []byte {
+// putHeader fills in the header of a frame.
+func putHeader(p []byte, kind byte) []byte {
 	p[0], p[1], p[2], p[3] = magic0, magic1, version, kind
 	binary.BigEndian.PutUint32(p[4:], uint32(len(p)-headerSize))
 	return p
 }
 
-// EncodeCancellations makes a frame that tells of jobs that are durably cancelled.
+// EncodeCancellations encodes a frame that announces durably cancelled jobs. Jobs beyond
+// the limit are left out.
 func EncodeCancellations(ids []core.JobID) []byte {
 	p := make([]byte, headerSize, 64)
-	ids = ids[:min(len(ids), maxCancelled)]
+	ids = ids[:min(len(ids), maxCancellations)]
 	p = binary.AppendUvarint(p, uint64(len(ids)))
 	for _, id := range ids {
-		p = putText(p, string(id))
+		p = appendString(p, string(id))
 	}
-	return seal(p, kindCancelled)
+	return putHeader(p, kindCancellations)
 }
 
-// DecodeCancellations reads such a frame; ok is false for all others.
+// DecodeCancellations decodes a frame of cancellations; ok is false for all other frames.
 func DecodeCancellations(frame []byte) (ids []core.JobID, ok bool) {
-	if len(frame) < headerSize || frame[2] != version || frame[3] != kindCancelled {
+	if len(frame) < headerSize || frame[2] != version || frame[3] != kindCancellations {
 		return nil, false
 	}
 	d := decoder{rest: frame[headerSize:]}
-	for range d.count(maxCancelled) {
-		ids = append(ids, core.JobID(d.text()))
+	for range d.count(maxCancellations) {
+		ids = append(ids, core.JobID(d.shortString()))
 	}
 	return ids, !d.failed && len(d.rest) == 0
 }
 
-func putText(p []byte, s string) []byte {
+// appendString appends s, cut off at 255 bytes, after its length byte.
+func appendString(p []byte, s string) []byte {
 	s = s[:min(len(s), 255)]
 	return append(append(p, byte(len(s))), s...)
 }
 
-var errMalformed = errors.New("malformed message")
+var errMalformed = errors.New("malformed peer frame")
 
-// ReadFrame reads one frame.
+// ReadFrame reads one frame, including its header.
 func ReadFrame(r io.Reader) ([]byte, error) {
-	head := make([]byte, headerSize)
-	if _, err := io.ReadFull(r, head); err != nil {
+	header := make([]byte, headerSize)
+	if _, err := io.ReadFull(r, header); err != nil {
 		return nil, err
 	}
-	n := binary.BigEndian.Uint32(head[4:])
-	if head[0] != magic0 || head[1] != magic1 || n > MaxPayload {
+	n := binary.BigEndian.Uint32(header[4:])
+	if header[0] != magic0 || header[1] != magic1 || n > MaxPayload {
 		return nil, errMalformed
 	}
-	frame := append(head, make([]byte, n)...)
+	frame := append(header, make([]byte, n)...)
 	if _, err := io.ReadFull(r, frame[headerSize:]); err != nil {
 		return nil, err
 	}
 	return frame, nil
 }
 
-// DecodeHeartbeat reads a frame. ok is false for kinds and versions that are unknown,
-// which are not an error.
+// DecodeHeartbeat decodes a heartbeat frame. An unknown kind or version is not an error; ok
+// is false for it.
 func DecodeHeartbeat(frame []byte) (b Heartbeat, ok bool, err error) {
 	if len(frame) < headerSize || frame[0] != magic0 || frame[1] != magic1 || int(binary.BigEndian.Uint32(frame[4:])) != len(frame)-headerSize {
 		return b, false, errMalformed
 	}
-	if frame[2] != version || frame[3] != kindBeat {
+	if frame[2] != version || frame[3] != kindHeartbeat {
 		return b, false, nil
 	}
 	d := decoder{rest: frame[headerSize:]}
-	b.Host = core.Host(d.text())
-	b.LeaseID = core.LeaseID(d.number())
-	b.Staleness = time.Duration(min(d.number(), 1<<32)) * time.Millisecond
-	b.WriteRate = d.number()
+	b.Host = core.Host(d.shortString())
+	b.LeaseID = core.LeaseID(d.uvarint())
+	b.Staleness = time.Duration(min(d.uvarint(), 1<<32)) * time.Millisecond
+	b.WriteRate = d.uvarint()
 	for range d.count(maxBlocks) {
-		h := BlockHint{Number: int(d.number()), Term: core.Term(d.number()), Placing: d.byte() == 1, WaitingTasks: int(d.number()), LiveMachines: int(d.number()), SilentMachines: int(d.number())}
+		h := BlockHint{Number: int(d.uvarint()), Term: core.Term(d.uvarint()), Placing: d.byte() == 1, WaitingTasks: int(d.uvarint()), LiveMachines: int(d.uvarint()), SilentMachines: int(d.uvarint())}
 		for range d.count(maxIdle) {
-			h.IdleMachines = append(h.IdleMachines, core.MachineID(d.text()))
+			h.IdleMachines = append(h.IdleMachines, core.MachineID(d.shortString()))
 		}
 		b.Blocks = append(b.Blocks, h)
 	}
 	for range d.count(maxRunning) {
-		b.Running = append(b.Running, RunningHint{core.JobID(d.text()), int(d.number())})
+		b.Running = append(b.Running, RunningHint{core.JobID(d.shortString()), int(d.uvarint())})
 	}
 	for range d.count(maxBlocks) {
-		b.Misrouted = append(b.Misrouted, MisroutedHint{int(d.number()), int(d.number())})
+		b.Misrouted = append(b.Misrouted, MisroutedHint{int(d.uvarint()), int(d.uvarint())})
 	}
 	for range d.count(maxFailing) {
-		b.Failing = append(b.Failing, core.JobID(d.text()))
+		b.Failing = append(b.Failing, core.JobID(d.shortString()))
 	}
 	if d.failed || len(d.rest) > 0 {
 		return Heartbeat{}, false, errMalformed
@@ -226,7 +231,7 @@
 	return b
 }
 
-func (d *decoder) number() uint64 {
+func (d *decoder) uvarint() uint64 {
 	n, size := binary.Uvarint(d.rest)
 	if size <= 0 {
 		d.failed, d.rest = true, nil
@@ -236,16 +241,16 @@
 	return n
 }
 
-func (d *decoder) count(most int) int {
-	n := d.number()
-	if n > uint64(most) {
+func (d *decoder) count(limit int) int {
+	n := d.uvarint()
+	if n > uint64(limit) {
 		d.failed, d.rest = true, nil
 		return 0
 	}
 	return int(n)
 }
 
-func (d *decoder) text() string {
+func (d *decoder) shortString() string {
 	n := int(d.byte())
 	if n > len(d.rest) {
 		d.failed, d.rest = true, nil
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -14,7 +14,7 @@
 	"lichenstair/internal/core"
 )
 
-func beat() Heartbeat {
+func testHeartbeat() Heartbeat {
 	return Heartbeat{
 		Host: "c0", LeaseID: 7, Staleness: 1500 * time.Millisecond, WriteRate: 73,
 		Blocks:    []BlockHint{{Number: 2, Term: 1 << 40, Placing: true, WaitingTasks: 300, LiveMachines: 3, SilentMachines: 9, IdleMachines: []core.MachineID{"n-1", "n-22"}}, {Number: 0}},
@@ -24,26 +24,27 @@
 	}
 }
 
-func TestBeatSurvivesTheWire(t *testing.T) {
-	frame, err := ReadFrame(bytes.NewReader(append(EncodeHeartbeat(beat()), 1, 2, 3)))
+func TestHeartbeatRoundTrip(t *testing.T) {
+	frame, err := ReadFrame(bytes.NewReader(append(EncodeHeartbeat(testHeartbeat()), 1, 2, 3)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	got, ok, err := DecodeHeartbeat(frame)
-	if err != nil || !ok || !reflect.DeepEqual(got, beat()) {
+	if err != nil || !ok || !reflect.DeepEqual(got, testHeartbeat()) {
 		t.Fatalf("%+v %v %v", got, ok, err)
 	}
 	frame[2]++
 	if _, ok, err := DecodeHeartbeat(frame); ok || err != nil {
-		t.Fatal("a version to come must be passed over", ok, err)
+		t.Fatal("a frame of a later version must be ignored without an error", ok, err)
 	}
 }
 
-// Whatever arrives, decoding ends without a crash and within its bounds.
-func TestDecodeAnything(t *testing.T) {
+// Decoding corrupted and truncated frames neither panics nor exceeds the limits of the
+// lists.
+func TestDecodeCorruptFrames(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for range 20000 {
-		frame := EncodeHeartbeat(beat())
+		frame := EncodeHeartbeat(testHeartbeat())
 		for range 1 + r.IntN(4) {
 			frame[headerSize+r.IntN(len(frame)-headerSize)] = byte(r.Uint32())
 		}
@@ -54,39 +55,39 @@
 			t.Fatalf("%+v", b)
 		}
 		if _, err := ReadFrame(bytes.NewReader(frame)); err == nil && len(frame) < headerSize {
-			t.Fatal("a piece of a header was taken")
+			t.Fatal("a truncated header was accepted")
 		}
 	}
 }
 
-// A line whose other end has been closed is opened anew before the next frame, so that
-// none is lost in it.
-func TestClosedLineIsOpenedAnew(t *testing.T) {
+// A connection that the peer has closed is opened again before the next frame is sent, so
+// that the frame is not lost in the closed one.
+func TestReconnectAfterPeerCloses(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	lines := NewTransport([]config.Peer{{Host: "c1", Addr: ln.Addr().String()}}, func([]byte) {}, slog.New(slog.DiscardHandler))
+	transport := NewTransport([]config.Peer{{Host: "c1", Addr: ln.Addr().String()}}, func([]byte) {}, slog.New(slog.DiscardHandler))
 	for round := range 3 {
-		lines.Broadcast(EncodeHeartbeat(beat()))
+		transport.Broadcast(EncodeHeartbeat(testHeartbeat()))
 		_ = ln.(*net.TCPListener).SetDeadline(time.Now().Add(5 * time.Second))
 		conn, err := ln.Accept()
 		if err != nil {
-			t.Fatalf("round %d: no new line: %v", round, err)
+			t.Fatalf("round %d: no new connection: %v", round, err)
 		}
 		_ = conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if _, err := ReadFrame(conn); err != nil {
 			t.Fatalf("round %d: %v", round, err)
 		}
 		conn.Close()
-		time.Sleep(50 * time.Millisecond) // until the end of the line has been seen
+		time.Sleep(50 * time.Millisecond) // until the sender has noticed that the connection is closed
 	}
 }
 
-// Cancellations travel in a kind of their own, which a version that does not know it
-// passes over as it does all unknown kinds; beats stay as they are.
-func TestCancellationsSurviveTheWire(t *testing.T) {
+// Cancellations have a frame kind of their own, which a version that does not know it
+// ignores like all unknown kinds; heartbeats stay unchanged.
+func TestCancellationsRoundTrip(t *testing.T) {
 	ids := []core.JobID{"req-1", "req-000398"}
 	frame, err := ReadFrame(bytes.NewReader(EncodeCancellations(ids)))
 	if err != nil {
@@ -96,27 +97,27 @@
 		t.Fatalf("%v %v", got, ok)
 	}
 	if _, ok, err := DecodeHeartbeat(frame); ok || err != nil {
-		t.Fatal("taken for a beat", ok, err)
+		t.Fatal("a frame of cancellations was decoded as a heartbeat", ok, err)
 	}
-	if _, ok := DecodeCancellations(EncodeHeartbeat(beat())); ok {
-		t.Fatal("a beat is taken for cancellations")
+	if _, ok := DecodeCancellations(EncodeHeartbeat(testHeartbeat())); ok {
+		t.Fatal("a heartbeat was decoded as cancellations")
 	}
 	if _, ok := DecodeCancellations(frame[:len(frame)-2]); ok {
-		t.Fatal("a frame that is cut off is read")
+		t.Fatal("a truncated frame was accepted")
 	}
 }
 
-// A beat is what the version in production sends, to the byte: one that it could not read
-// would make live holders look dead.
-func TestBeatOfThePreviousVersion(t *testing.T) {
+// Heartbeats are encoded byte for byte as by the version in production: if that could not
+// decode them, it would take live holders for dead.
+func TestHeartbeatMatchesPreviousVersion(t *testing.T) {
 	previous, err := os.ReadFile("testdata/previous-beat.bin")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(previous, EncodeHeartbeat(beat())) {
-		t.Fatalf("written as %x, the previous version wrote %x", EncodeHeartbeat(beat()), previous)
+	if !bytes.Equal(previous, EncodeHeartbeat(testHeartbeat())) {
+		t.Fatalf("encoded as %x, the previous version encodes %x", EncodeHeartbeat(testHeartbeat()), previous)
 	}
-	if got, ok, err := DecodeHeartbeat(previous); err != nil || !ok || !reflect.DeepEqual(got, beat()) {
+	if got, ok, err := DecodeHeartbeat(previous); err != nil || !ok || !reflect.DeepEqual(got, testHeartbeat()) {
 		t.Fatalf("%+v %v %v", got, ok, err)
 	}
 }
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -10,69 +10,69 @@
 	"lichenstair/internal/config"
 )
 
-// Transport sends frames to the other controllers and takes in theirs. Each
-// direction has a connection of its own.
+// Transport sends frames to the other controllers and receives theirs. Each direction has a
+// connection of its own.
 type Transport struct {
-	log   *slog.Logger
-	lines []chan []byte
-	took  func([]byte)
-	seats chan struct{}
+	log          *slog.Logger
+	queues       []chan []byte
+	onFrame      func([]byte)
+	inboundSlots chan struct{}
 }
 
 const (
-	dialWait  = time.Second
-	writeWait = time.Second
-	readWait  = 10 * time.Second
+	dialTimeout  = time.Second
+	writeTimeout = time.Second
+	readTimeout  = 10 * time.Second
 )
 
-// NewTransport opens a line to each peer; took gets each frame that arrives,
-// on a goroutine of its own.
-func NewTransport(peers []config.Peer, took func([]byte), log *slog.Logger) *Transport {
-	t := &Transport{log: log, took: took, seats: make(chan struct{}, 2*len(peers)+2)}
+// NewTransport starts a sender for each peer. onFrame is called with each received frame, on
+// the goroutine of its connection.
+func NewTransport(peers []config.Peer, onFrame func([]byte), log *slog.Logger) *Transport {
+	t := &Transport{log: log, onFrame: onFrame, inboundSlots: make(chan struct{}, 2*len(peers)+2)}
 	for _, p := range peers {
-		line := make(chan []byte, 1)
-		t.lines = append(t.lines, line)
-		go t.write(p, line)
+		queue := make(chan []byte, 1)
+		t.queues = append(t.queues, queue)
+		go t.sendLoop(p, queue)
 	}
 	return t
 }
 
-// Broadcast sends a frame to all peers. A newer frame takes the place of one
-// that could not be sent yet.
+// Broadcast queues a frame for each peer, in place of a frame that has not been sent yet.
 func (t *Transport) Broadcast(frame []byte) {
-	for _, line := range t.lines {
+	for _, queue := range t.queues {
 		select {
-		case <-line:
+		case <-queue:
 		default:
 		}
 		select {
-		case line <- frame:
+		case queue <- frame:
 		default:
 		}
 	}
 }
 
-func (t *Transport) write(p config.Peer, line chan []byte) {
+// sendLoop sends queued frames to a peer and reconnects as needed.
+func (t *Transport) sendLoop(p config.Peer, queue chan []byte) {
 	var conn net.Conn
-	var ended chan struct{}
-	for frame := range line {
+	var closed chan struct{}
+	for frame := range queue {
 		if conn != nil {
 			select {
-			case <-ended:
+			case <-closed:
 				conn.Close()
 				conn = nil
 			default:
 			}
 		}
 		if conn == nil {
-			c, err := net.DialTimeout("tcp", p.Addr, dialWait)
+			c, err := net.DialTimeout("tcp", p.Addr, dialTimeout)
 			if err != nil {
 				continue
 			}
-			conn, ended = c, make(chan struct{})
-			go watch(c, ended)
+			conn, closed = c, make(chan struct{})
+			go awaitClose(c, closed)
 		}
-		_ = conn.SetWriteDeadline(time.Now().Add(writeWait))
+		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if _, err := conn.Write(frame); err != nil {
 			conn.Close()
 			conn = nil
@@ -80,16 +80,16 @@
 	}
 }
 
-// watch waits until the other side has closed a connection. Nothing is sent to us on
-// it, and writing alone may tell nothing: a controller that had stood still for longer
-// than the others wait for its frames wrote on into connections that they had closed,
-// and was taken for silent until it was restarted.
-func watch(c net.Conn, ended chan struct{}) {
+// awaitClose waits until the peer has closed a connection, then closes the channel. The
+// peer sends nothing on it, and a write alone may not show that it is closed: a controller
+// whose process was paused for longer than the read timeout of the others kept writing into
+// connections that they had closed, and was considered silent until it was restarted.
+func awaitClose(c net.Conn, closed chan struct{}) {
 	_, _ = io.Copy(io.Discard, c)
-	close(ended)
+	close(closed)
 }
 
-// Serve takes in frames that come to a listener.
+// Serve accepts connections from peers and receives their frames until the listener fails.
 func (t *Transport) Serve(ln net.Listener) error {
 	var refused atomic.Int64
 	for {
@@ -98,28 +98,28 @@
 			return err
 		}
 		select {
-		case t.seats <- struct{}{}:
+		case t.inboundSlots <- struct{}{}:
 			go func() {
-				defer func() { <-t.seats }()
-				t.read(conn)
+				defer func() { <-t.inboundSlots }()
+				t.receiveLoop(conn)
 			}()
 		default:
 			if refused.Add(1) == 1 {
-				t.log.Info("more connections from peers than there are peers")
+				t.log.Info("too many connections from peers; closing the excess ones")
 			}
 			conn.Close()
 		}
 	}
 }
 
-func (t *Transport) read(conn net.Conn) {
+func (t *Transport) receiveLoop(conn net.Conn) {
 	defer conn.Close()
 	for {
-		_ = conn.SetReadDeadline(time.Now().Add(readWait))
+		_ = conn.SetReadDeadline(time.Now().Add(readTimeout))
 		frame, err := ReadFrame(conn)
 		if err != nil {
 			return
 		}
-		t.took(frame)
+		t.onFrame(frame)
 	}
 }
