--- a/internal/leader/blocks.go
+++ b/internal/leader/blocks.go
@@ -10,9 +10,9 @@
 	"lichenstair/internal/state"
 )
 
-// found creates the blocks, gives teams that are new to a block, and writes down what
-// each may use.
-func (l *Leader) found(t *api.Txn) {
+// setUpBlocks creates the blocks, assigns teams without a block to one, and records the
+// resource limits of the teams.
+func (l *Leader) setUpBlocks(t *api.Txn) {
 	drafts := &blockDrafts{mirror: l.Mirror, changed: map[int]*state.Block{}}
 	if len(l.Mirror.Blocks) == 0 && !l.createBlocks(t, drafts) {
 		return
@@ -31,10 +31,10 @@
 	}
 }
 
-// createBlocks drafts the first blocks, spread over the live controllers; false if there
-// are none.
+// createBlocks drafts the first blocks, distributed over the live controllers. It returns
+// false if there are none.
 func (l *Leader) createBlocks(t *api.Txn, drafts *blockDrafts) bool {
-	live := l.live()
+	live := l.liveMembers()
 	if len(live) == 0 {
 		return false
 	}
@@ -47,13 +47,13 @@
 	return true
 }
 
-// blockDrafts are the records of blocks as they are to be written.
+// blockDrafts holds the records of blocks that are to be written.
 type blockDrafts struct {
 	mirror  *state.Mirror
 	changed map[int]*state.Block
 }
 
-// numbers lists all blocks, new ones included.
+// numbers returns the numbers of all blocks, including new ones.
 func (d *blockDrafts) numbers() []int {
 	numbers := core.SortedKeys(d.mirror.Blocks)
 	for n := range d.changed {
@@ -63,7 +63,7 @@
 	return numbers
 }
 
-// record is a block as it stands or is to be written; it must not be changed.
+// record returns the current or drafted record of a block, which must not be modified.
 func (d *blockDrafts) record(n int) *state.Block {
 	if block := d.changed[n]; block != nil {
 		return block
@@ -71,7 +71,7 @@
 	return d.mirror.Blocks[n].Record
 }
 
-// draft is a block's record that may be changed.
+// draft returns a record of a block that may be modified.
 func (d *blockDrafts) draft(n int) *state.Block {
 	if d.changed[n] == nil {
 		d.changed[n] = d.mirror.Blocks[n].Record.Clone()
@@ -79,7 +79,8 @@
 	return d.changed[n]
 }
 
-// placeTeams gives each team that is in no block to the one that is guaranteed least.
+// placeTeams assigns each team without a block to the block with the fewest guaranteed
+// CPUs.
 func (d *blockDrafts) placeTeams(numbers []int, teams []config.Team) {
 	guaranteed := map[int]float64{}
 	placed := map[string]bool{}
@@ -109,7 +110,7 @@
 	}
 }
 
-// writeLimits writes down what the teams of a block may use, where that has changed.
+// writeLimits drafts the resource limits of the teams of a block where they have changed.
 func (d *blockDrafts) writeLimits(n int, teams []config.Team) {
 	for _, team := range teams {
 		limit := state.Limit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -9,25 +9,25 @@
 	"lichenstair/internal/state"
 )
 
-// grant gives blocks without a live holder to a live controller, and spreads
-// them again once a controller has been back for a moment.
-func (l *Leader) grant(t *api.Txn) {
+// grantBlocks grants blocks without a live holder to live controllers, and rebalances the
+// blocks once a controller has been back for a while.
+func (l *Leader) grantBlocks(t *api.Txn) {
 	now := l.Loop.Now()
-	live := l.live()
-	l.noteStable(live, now)
+	live := l.liveMembers()
+	l.trackMembers(live, now)
 	if len(live) == 0 {
 		return
 	}
-	// Controllers that lately did not hear their machines get no blocks as long
-	// as others can take them.
-	if hearing := slices.DeleteFunc(slices.Clone(live), func(m state.Member) bool { return now < l.isolations[m.LeaseID].until }); len(hearing) > 0 {
-		live = hearing
+	// Controllers that recently did not receive the reports of their machines are granted
+	// no blocks as long as others can take them.
+	if reachable := slices.DeleteFunc(slices.Clone(live), func(m state.Member) bool { return now < l.isolations[m.LeaseID].until }); len(reachable) > 0 {
+		live = reachable
 	}
 	loads := l.loads(live)
 	numbers := core.SortedKeys(l.Mirror.Blocks)
 	moves := l.moveOrphaned(numbers, loads)
-	if len(moves) == 0 && now.Sub(l.isolationAt) >= isolationPause {
-		l.isolationAt = now
+	if len(moves) == 0 && now.Sub(l.lastIsolationCheck) >= isolationCheckInterval {
+		l.lastIsolationCheck = now
 		moves = l.moveFromIsolated(numbers, live, now)
 	}
 	if len(moves) == 0 {
@@ -38,27 +38,27 @@
 	}
 	first := l.allocateTerms(t, len(moves))
 	for i, b := range moves {
-		l.note("granting block", "block", b.Number, "from", l.Mirror.Blocks[b.Number].Record.Holder, "to", b.Holder, "term", first+core.Term(i))
+		l.logWhenApplied("block granted", "block", b.Number, "from", l.Mirror.Blocks[b.Number].Record.Holder, "to", b.Holder, "term", first+core.Term(i))
 		b.Term = first + core.Term(i)
 		l.setBlock(t, b)
 	}
 }
 
-// noteStable follows since when each controller has been a member.
-func (l *Leader) noteStable(live []state.Member, now core.Time) {
+// trackMembers records since when each controller has been a member.
+func (l *Leader) trackMembers(live []state.Member, now core.Time) {
 	for _, m := range live {
-		if _, ok := l.stable[m.Host]; !ok {
-			l.stable[m.Host] = now
+		if _, ok := l.memberSince[m.Host]; !ok {
+			l.memberSince[m.Host] = now
 		}
 	}
-	for host := range l.stable {
+	for host := range l.memberSince {
 		if _, ok := l.Mirror.Members[host]; !ok {
-			delete(l.stable, host)
+			delete(l.memberSince, host)
 		}
 	}
 }
 
-// holderLoads counts the blocks of each controller that may get one.
+// holderLoads counts the blocks of each controller that may be granted one.
 type holderLoads struct {
 	candidates []state.Member
 	blocks     map[core.Host]int
@@ -67,15 +67,15 @@
 func (l *Leader) loads(candidates []state.Member) *holderLoads {
 	loads := &holderLoads{candidates, map[core.Host]int{}}
 	for _, b := range l.Mirror.Blocks {
-		if l.holds(b.Record) {
+		if l.holderHasLease(b.Record) {
 			loads.blocks[b.Record.Holder]++
 		}
 	}
 	return loads
 }
 
-// fewest is the controller with the fewest blocks.
-func (h *holderLoads) fewest() state.Member {
+// leastLoaded returns the candidate with the fewest blocks.
+func (h *holderLoads) leastLoaded() state.Member {
 	best := h.candidates[0]
 	for _, m := range h.candidates {
 		if h.blocks[m.Host] < h.blocks[best.Host] {
@@ -85,62 +85,63 @@
 	return best
 }
 
-// movedTo is a block's record with another holder.
-func movedTo(b *state.Block, to state.Member) *state.Block {
+// withHolder returns a copy of a block's record with another holder.
+func withHolder(b *state.Block, to state.Member) *state.Block {
 	c := b.Clone()
 	c.Holder, c.LeaseID = to.Host, to.LeaseID
 	return c
 }
 
-// moveOrphaned moves the blocks whose holders have no tenure any more, as many as one
-// transaction can.
+// moveOrphaned moves the blocks whose holders no longer have the lease of the grant, as
+// many as fit into one transaction.
 func (l *Leader) moveOrphaned(numbers []int, loads *holderLoads) (moves []*state.Block) {
 	for _, n := range numbers {
 		b := l.Mirror.Blocks[n].Record
-		if l.holds(b) || len(moves) >= l.Config.StateLimits.TxnOps-2 {
+		if l.holderHasLease(b) || len(moves) >= l.Config.StateLimits.TxnOps-2 {
 			continue
 		}
-		to := loads.fewest()
+		to := loads.leastLoaded()
 		loads.blocks[to.Host]++
-		moves = append(moves, movedTo(b, to))
+		moves = append(moves, withHolder(b, to))
 	}
 	return moves
 }
 
-// moveForBalance moves one block to a controller that has two fewer than its holder.
+// moveForBalance moves one block to a controller that holds at least two fewer than the
+// block's holder.
 func (l *Leader) moveForBalance(numbers []int, loads *holderLoads, now core.Time) []*state.Block {
-	to := loads.fewest()
-	if now.Sub(l.stable[to.Host]) <= rebalance {
+	to := loads.leastLoaded()
+	if now.Sub(l.memberSince[to.Host]) <= rebalanceDelay {
 		return nil
 	}
 	for _, n := range numbers {
 		b := l.Mirror.Blocks[n].Record
-		// A block that is still looking for its machines is left alone: moved on
-		// in the midst of that, it began anew, and its workers' leases ran out.
+		// A block whose holder is still discovering its machines is not moved: the next
+		// holder started the discovery anew, and the leases of the workers expired.
 		if loads.blocks[b.Holder] >= loads.blocks[to.Host]+2 && l.HolderReady(n) {
-			return []*state.Block{movedTo(b, to)}
+			return []*state.Block{withHolder(b, to)}
 		}
 	}
 	return nil
 }
 
-// isolation is how long a controller counts as not hearing machines. It is kept by
-// tenure: a restarted controller starts afresh.
+// isolation is how long a controller counts as isolated from its machines. It is recorded
+// per lease, so that a restarted controller starts with a clean record.
 type isolation struct {
-	until core.Time
-	last  time.Duration
+	until    core.Time
+	duration time.Duration
 }
 
-// Blocks do not go back soon to one that did not hear: it costs their workers' leases if
-// it still does not, and next to nothing if it would. After 30 s, cuts of 50 s cost a
-// second time.
+// A controller that did not receive reports is not granted blocks again soon: if it still
+// does not receive them, that costs the leases of the blocks' workers; if it would, waiting
+// costs next to nothing. With 30 s, partitions of 50 s cost the leases a second time.
 const (
-	isolationTime    = 60 * time.Second
+	minIsolationTime = 60 * time.Second
 	maxIsolationTime = 4 * time.Minute
 )
 
-// moveFromIsolated moves a block away from a holder that is well with the state
-// service but does not hear the block's machines, to one that they come to.
+// moveFromIsolated moves a block away from a holder that reaches the state service but does
+// not receive reports from the block's machines, to the controller to which they report.
 func (l *Leader) moveFromIsolated(numbers []int, live []state.Member, now core.Time) []*state.Block {
 	for _, n := range numbers {
 		host, ok := l.ReplacementHolder(n)
@@ -154,12 +155,12 @@
 			b := l.Mirror.Blocks[n].Record
 			d := l.isolations[b.LeaseID]
 			if now >= d.until {
-				d.last = min(max(2*d.last, isolationTime), maxIsolationTime)
+				d.duration = min(max(2*d.duration, minIsolationTime), maxIsolationTime)
 			}
-			d.until = now.Add(d.last)
+			d.until = now.Add(d.duration)
 			l.isolations[b.LeaseID] = d
-			l.note("holder does not hear its machines", "block", n, "holder", b.Holder, "heard_by", host)
-			return []*state.Block{movedTo(b, m)}
+			l.logWhenApplied("moving block from a holder that does not receive reports from its machines", "block", n, "holder", b.Holder, "heard_by", host)
+			return []*state.Block{withHolder(b, m)}
 		}
 	}
 	return nil
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -1,5 +1,5 @@
-// Package leader is what the elected controller does: it grants blocks, rents
-// and returns machines, and assigns them to blocks.
+// Package leader implements the role of the elected controller: it grants blocks, rents and
+// returns machines, and assigns them to blocks.
 package leader
 
 import (
@@ -16,7 +16,7 @@
 	"lichenstair/internal/worker"
 )
 
-// Env is what a leader works with.
+// Env holds the dependencies of a leader.
 type Env struct {
 	Loop    core.Loop
 	Log     *slog.Logger
@@ -26,142 +26,145 @@
 	State   *state.Client
 	Cloud   *cloud.Client
 	Workers *worker.Client
-	// GangKinds lists the kinds of machine that are always kept for gangs.
+	// GangKinds returns the machine kinds that are always kept for gangs.
 	GangKinds func() capacity.GangKinds
-	// ReplacementHolder names the controller that should hold a block whose holder does not
-	// hear its machines.
+	// ReplacementHolder returns the controller that should take over a block whose holder
+	// does not receive reports from its machines.
 	ReplacementHolder func(block int) (core.Host, bool)
-	// HolderReady tells whether a block's holder has found its machines.
+	// HolderReady returns whether a block's holder has discovered its machines and places
+	// tasks.
 	HolderReady func(block int) bool
-	// FailingJobs lists the jobs that have only failed so far.
+	// FailingJobs returns the jobs whose attempts have all failed so far.
 	FailingJobs func() map[core.JobID]bool
-	// RunningTasks counts the tasks of jobs that run.
+	// RunningTasks counts the running tasks by job.
 	RunningTasks func() map[core.JobID]int
-	// LeaseValid tells whether our tenure has certainly not run out.
+	// LeaseValid returns whether our lease has certainly not expired.
 	LeaseValid func() bool
-	// IdleMachines lists machines of blocks on which nothing is booked.
+	// IdleMachines returns the machines of blocks on which nothing is placed.
 	IdleMachines func() map[core.MachineID]bool
 }
 
-// Leader acts for one term.
+// Leader acts as the leader for one term.
 type Leader struct {
 	Env
-	record  state.Versioned[*state.Leader]
-	ended   bool
-	busy    bool
-	seq     int
-	again   core.Time
-	types   []api.MachineType
-	listing bool
-	listed  core.Time
-	asked   core.Time
-	list    map[core.MachineID]api.ListedMachine
-	closed  map[capacity.Offer]core.Time
-	free    map[core.MachineID]core.Time
-	unknown *worker.Prober          // machines that nobody knows of
-	sending map[core.MachineID]bool // to be returned, not yet confirmed
-	due     []string                // of these, not yet asked for
-	// returning: a request to return machines is on its way or about to be.
-	returning   bool
-	done        map[core.MachineID]bool // returns answered 200, not yet written
-	rented      []state.Machine         // rented, not yet written
-	rentals     int                     // in flight
-	stable      map[core.Host]core.Time
-	notes       []note // of the transaction being composed
-	isolations  map[core.LeaseID]isolation
-	trend       capacity.DemandTrend
-	boots       capacity.BootTimes
-	booting     map[core.MachineID]bool // not known to have come up yet
-	planAt      core.Time               // of the last plan
-	planDue     bool                    // the next one is on its way
-	isolationAt core.Time               // when holders were last looked at
+	record           state.Versioned[*state.Leader]
+	stopped          bool
+	committing       bool
+	rentalSeq        int
+	retryAt          core.Time
+	types            []api.MachineType
+	listing          bool
+	nextList         core.Time
+	nextTypes        core.Time
+	listed           map[core.MachineID]api.ListedMachine
+	unavailableUntil map[capacity.Offer]core.Time
+	freeSince        map[core.MachineID]core.Time
+	prober           *worker.Prober          // of machines that no record and no list contains
+	returnPending    map[core.MachineID]bool // return queued or requested, not yet confirmed
+	returnQueue      []string                // return queued, not yet requested
+	// returnScheduled: a request to return machines is in flight or scheduled.
+	returnScheduled    bool
+	returned           map[core.MachineID]bool // return confirmed, not yet recorded
+	rented             []state.Machine         // rented, not yet recorded
+	rentalsInFlight    int                     // number of rental requests in flight
+	memberSince        map[core.Host]core.Time
+	logLines           []logLine // log lines of the transaction being composed
+	isolations         map[core.LeaseID]isolation
+	demandTrend        capacity.DemandTrend
+	bootTimes          capacity.BootTimes
+	booting            map[core.MachineID]bool // not known to have booted
+	lastPlan           core.Time               // time of the last plan
+	planScheduled      bool                    // the next plan is scheduled
+	lastIsolationCheck core.Time               // when the holders were last checked for isolation
 }
 
-// New starts to lead under the record that the mirror shows.
+// New returns a leader that acts under the given record of the leader key.
 func New(env Env, record state.Versioned[*state.Leader]) *Leader {
 	l := &Leader{
-		Env: env, record: record, list: map[core.MachineID]api.ListedMachine{}, closed: map[capacity.Offer]core.Time{},
-		free: map[core.MachineID]core.Time{}, unknown: worker.NewProber(env.Workers, maxAsking), sending: map[core.MachineID]bool{}, done: map[core.MachineID]bool{}, booting: map[core.MachineID]bool{},
-		stable: map[core.Host]core.Time{}, isolations: map[core.LeaseID]isolation{},
+		Env: env, record: record, listed: map[core.MachineID]api.ListedMachine{}, unavailableUntil: map[capacity.Offer]core.Time{},
+		freeSince: map[core.MachineID]core.Time{}, prober: worker.NewProber(env.Workers, maxProbes), returnPending: map[core.MachineID]bool{}, returned: map[core.MachineID]bool{}, booting: map[core.MachineID]bool{},
+		memberSince: map[core.Host]core.Time{}, isolations: map[core.LeaseID]isolation{},
 	}
-	l.Log.Info("we lead", "term", record.Record.Term)
+	l.Log.Info("leadership acquired", "term", record.Record.Term)
 	return l
 }
 
-// Term returns the term under which we lead.
+// Term returns the term of this leader.
 func (l *Leader) Term() core.Term { return l.record.Record.Term }
 
-// Version returns the version of the leader key under which it acts.
+// Version returns the version of the leader key under which this leader acts.
 func (l *Leader) Version() core.Revision { return l.record.Version }
 
-// Stop stops acting.
+// Stop stops the leader.
 func (l *Leader) Stop() {
-	l.ended = true
-	l.Log.Info("we no longer lead", "term", l.record.Record.Term)
+	l.stopped = true
+	l.Log.Info("leadership lost", "term", l.record.Record.Term)
 }
 
 const (
-	typesEvery = 60 * time.Second
-	// planPause is the least time between two plans: every change of any record
-	// asks for one, and with hundreds of machines and jobs each takes milliseconds.
-	planPause = 100 * time.Millisecond
-	// isolationPause is the same for looking whether holders hear their machines.
-	isolationPause = 200 * time.Millisecond
-	closedFor      = 15 * time.Second
-	rebalance      = 1500 * time.Millisecond
-	maxReturns     = 100 // in one request, by the protocol
-	maxAsking      = 50
+	typesInterval = 60 * time.Second
+	// minPlanInterval is the minimum time between two plans: every change of a record asks
+	// for one, and with hundreds of machines and jobs each takes milliseconds.
+	minPlanInterval = 100 * time.Millisecond
+	// isolationCheckInterval is the minimum time between two checks whether the holders
+	// receive the reports of their machines.
+	isolationCheckInterval = 200 * time.Millisecond
+	unavailableTime        = 15 * time.Second
+	rebalanceDelay         = 1500 * time.Millisecond
+	maxReturns             = 100 // in one request, limited by the protocol
+	maxProbes              = 50
 )
 
-// Tick does what is due.
+// Tick queries the cloud and writes changes, as far as they are due.
 func (l *Leader) Tick() {
-	if l.ended || !l.Mirror.Complete() {
+	if l.stopped || !l.Mirror.Complete() {
 		return
 	}
-	l.askCloud()
-	l.act()
+	l.queryCloud()
+	l.commitNext()
 }
 
-func (l *Leader) askCloud() {
+// queryCloud refreshes the machine types and the list of machines when they are due.
+func (l *Leader) queryCloud() {
 	now := l.Loop.Now()
-	if now >= l.asked {
-		l.asked = now.Add(typesEvery)
+	if now >= l.nextTypes {
+		l.nextTypes = now.Add(typesInterval)
 		l.Cloud.Types(func(types []api.MachineType, ok bool) {
 			if !ok {
-				l.asked = l.Loop.Now().Add(2 * time.Second)
+				l.nextTypes = l.Loop.Now().Add(2 * time.Second)
 				return
 			}
 			l.types = types
-			l.act()
+			l.commitNext()
 		})
 	}
-	if !l.listing && now >= l.listed {
+	if !l.listing && now >= l.nextList {
 		l.listing = true
 		l.Cloud.List(func(ms []api.ListedMachine, ok bool) {
 			l.listing = false
-			l.listed = l.Loop.Now().Add(max(l.Config.CloudLimits.ListLag, 3*time.Second))
-			if !ok || l.ended {
+			l.nextList = l.Loop.Now().Add(max(l.Config.CloudLimits.ListLag, 3*time.Second))
+			if !ok || l.stopped {
 				return
 			}
-			l.list = map[core.MachineID]api.ListedMachine{}
+			l.listed = map[core.MachineID]api.ListedMachine{}
 			for _, m := range ms {
-				l.list[core.MachineID(m.ID)] = m
+				l.listed[core.MachineID(m.ID)] = m
 			}
-			l.act()
+			l.commitNext()
 		})
 	}
 }
 
-// act composes the next transaction, if anything is to be written.
-func (l *Leader) act() {
+// commitNext composes and sends the next transaction, if there is anything to write.
+func (l *Leader) commitNext() {
 	now := l.Loop.Now()
-	if l.ended || l.busy || now < l.again {
+	if l.stopped || l.committing || now < l.retryAt {
 		return
 	}
 	t := api.Txn{If: []api.Condition{{Key: state.KeyLeader, Version: uint64(l.record.Version)}}}
-	l.notes = nil
-	send := l.State.TxnHighPriority // what blocks need to be held
-	for _, step := range []func(*api.Txn){l.found, l.grant} {
+	l.logLines = nil
+	send := l.State.TxnHighPriority // block records and grants are needed first
+	for _, step := range []func(*api.Txn){l.setUpBlocks, l.grantBlocks} {
 		if step(&t); len(t.Then) > 0 {
 			break
 		}
@@ -169,32 +172,32 @@
 	if len(t.Then) == 0 {
 		send = l.State.Txn
 		if l.writeTypes(&t); len(t.Then) == 0 {
-			l.machines(&t)
+			l.updateMachines(&t)
 		}
 	}
 	if len(t.Then) == 0 {
 		return
 	}
-	l.busy = true
-	notes := l.notes
+	l.committing = true
+	lines := l.logLines
 	send(t, func(r state.Result) {
 		next := func(bool) {
-			l.busy = false
-			l.act()
+			l.committing = false
+			l.commitNext()
 		}
 		switch r.Outcome {
 		case state.Applied:
-			for _, n := range notes {
-				l.Log.Info(n.text, n.args...)
+			for _, line := range lines {
+				l.Log.Info(line.text, line.args...)
 			}
 			l.Mirror.WaitFor(r.Revision, next)
 		case state.Refused:
-			l.again = l.Loop.Now().Add(500 * time.Millisecond)
+			l.retryAt = l.Loop.Now().Add(500 * time.Millisecond)
 			next(false)
 		default:
 			l.Mirror.ConfirmFresh(func(ok bool) {
 				if !ok {
-					l.again = l.Loop.Now().Add(300 * time.Millisecond)
+					l.retryAt = l.Loop.Now().Add(300 * time.Millisecond)
 				}
 				next(ok)
 			})
@@ -202,17 +205,18 @@
 	})
 }
 
-// note keeps a line for the log until what it tells of has been carried out.
-func (l *Leader) note(text string, args ...any) {
-	l.notes = append(l.notes, note{text, args})
+// logWhenApplied keeps a log line until the transaction that it describes has been applied.
+func (l *Leader) logWhenApplied(text string, args ...any) {
+	l.logLines = append(l.logLines, logLine{text, args})
 }
 
-type note struct {
+type logLine struct {
 	text string
 	args []any
 }
 
-// allocateTerms takes the next n terms from the counter; the first is returned.
+// allocateTerms adds the allocation of the next n terms to a transaction and returns the
+// first of them.
 func (l *Leader) allocateTerms(t *api.Txn, n int) core.Term {
 	c := l.Mirror.Term
 	t.If = append(t.If, api.Condition{Key: state.KeyTerm, Version: uint64(c.Version)})
@@ -226,28 +230,28 @@
 	t.Then = append(t.Then, state.Put(key, b))
 }
 
-// underBlock makes a transaction depend on the grant of a block that it does
+// requireGrant makes a transaction conditional on the current grant of a block that it does
 // not write.
-func (l *Leader) underBlock(t *api.Txn, n int) {
+func (l *Leader) requireGrant(t *api.Txn, n int) {
 	t.If = append(t.If, api.Condition{Key: state.KeyBlock(n), Version: uint64(l.Mirror.Blocks[n].Version)})
 }
 
-// live lists the controllers with a tenure, by name.
-func (l *Leader) live() (out []state.Member) {
+// liveMembers returns the controllers with a lease, sorted by name.
+func (l *Leader) liveMembers() (out []state.Member) {
 	for _, h := range core.SortedKeys(l.Mirror.Members) {
 		out = append(out, l.Mirror.Members[h].Record)
 	}
 	return out
 }
 
-// holds tells whether a block's holder still has the tenure of its grant.
-func (l *Leader) holds(b *state.Block) bool {
+// holderHasLease returns whether a block's holder still has the lease of its grant.
+func (l *Leader) holderHasLease(b *state.Block) bool {
 	m, ok := l.Mirror.Members[b.Holder]
 	return ok && m.Record.LeaseID == b.LeaseID
 }
 
-// writeTypes keeps a durable copy of the machine types, so that nodes know
-// them even while the cloud does not answer.
+// writeTypes stores the machine types, so that nodes know them even while the cloud does
+// not respond. A change of spot prices alone is not written.
 func (l *Leader) writeTypes(t *api.Txn) {
 	if l.types == nil {
 		return
@@ -269,7 +273,8 @@
 	t.Then = append(t.Then, state.Put(state.KeyTypes, l.types))
 }
 
-func (l *Leader) priced() map[string]api.MachineType {
+// pricedTypes returns the machine types with the latest prices.
+func (l *Leader) pricedTypes() map[string]api.MachineType {
 	if l.types == nil {
 		return l.Mirror.Types.Record
 	}
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -6,54 +6,53 @@
 	"lichenstair/internal/state"
 )
 
-// machines brings the pool and the blocks' machines to what the cloud lists
-// and what the plan wants.
-func (l *Leader) machines(t *api.Txn) {
+// updateMachines updates the records of the pool and of the blocks' machines according to
+// the cloud's list and the plan.
+func (l *Leader) updateMachines(t *api.Txn) {
 	now := l.Loop.Now()
 	if !l.planIsDue(now) {
 		return
 	}
-	l.planAt = now
-	// Beside the parts, the counters of terms and arrivals may be written.
-	// A larger transaction than a second's worth of changes kept grants waiting for
-	// seconds behind it.
+	l.lastPlan = now
+	// Two changes are left for the counters of terms and of added machines. A transaction
+	// larger than one second's worth of changes delayed the grants queued behind it by
+	// seconds.
 	edit := l.Mirror.Edit(l.Config.StateLimits, l.State.BatchSize(l.Config.StateLimits.TxnOps-2), 0)
-	l.noteGone(edit)
-	l.lookAtList(edit)
-	l.noteRented(edit)
+	l.recordReturned(edit)
+	l.reconcileList(edit)
+	l.recordRented(edit)
 	plan := l.plan(edit, now, l.Loop.WallNow())
 	changed := map[int]bool{} // blocks whose machines are written
 	l.assign(t, edit, plan.Assign, changed)
-	l.askBack(edit, plan.Drain, changed)
-	l.markReturned(edit, plan.Return)
+	l.requestRelease(edit, plan.Drain, changed)
+	l.markForReturn(edit, plan.Return)
 	for _, n := range core.SortedKeys(changed) {
-		l.underBlock(t, n)
+		l.requireGrant(t, n)
 	}
 	edit.Apply(t)
 	l.returnMarked()
-	l.rent(plan.Rent)
+	l.requestRentals(plan.Rent)
 }
 
-// planIsDue tells whether it is time for the next plan, and sees to it that one is made
-// when it is.
+// planIsDue returns whether it is time for the next plan, and otherwise schedules it.
 func (l *Leader) planIsDue(now core.Time) bool {
-	wait := l.planAt.Add(planPause).Sub(now)
-	if l.planAt == 0 || wait <= 0 {
+	wait := l.lastPlan.Add(minPlanInterval).Sub(now)
+	if l.lastPlan == 0 || wait <= 0 {
 		return true
 	}
-	if !l.planDue {
-		l.planDue = true
+	if !l.planScheduled {
+		l.planScheduled = true
 		l.Loop.After(wait, func() {
-			l.planDue = false
-			l.act()
+			l.planScheduled = false
+			l.commitNext()
 		})
 	}
 	return false
 }
 
-// assign moves machines of the pool to blocks. Each block takes its new machines under a
-// fresh term: higher than any that they have seen, so that they take commands, and seeing
-// it they report at once.
+// assign moves machines of the pool to blocks. Each block receives its new machines under a
+// fresh term, higher than any that they have seen: so they accept its commands, and report
+// at once when they see it.
 func (l *Leader) assign(t *api.Txn, edit *state.Edit, blocks map[core.MachineID]int, changed map[int]bool) {
 	terms := map[int]core.Term{}
 	for _, n := range blocks {
@@ -72,18 +71,18 @@
 		m.Term = terms[n]
 		m.LastTerm, m.InUse, m.Draining, m.ReturnRequested, m.Expiring = 0, false, false, false, false
 		if !edit.Move(state.PoolInventory, n, m) {
-			break // the rest goes with the next transaction
+			break // the remaining machines go with the next transaction
 		}
 		changed[n], moved = true, true
-		l.note("machine goes to a block", "machine", id, "type", m.Type, "block", n)
+		l.logWhenApplied("machine assigned to a block", "machine", id, "type", m.Type, "block", n)
 	}
 	if moved {
 		l.allocateTerms(t, len(terms))
 	}
 }
 
-// askBack asks holders to let machines go once they are empty.
-func (l *Leader) askBack(edit *state.Edit, ids []core.MachineID, changed map[int]bool) {
+// requestRelease asks holders to release machines once they are empty.
+func (l *Leader) requestRelease(edit *state.Edit, ids []core.MachineID, changed map[int]bool) {
 	for _, id := range ids {
 		n, ok := l.Mirror.MachineBlock(id)
 		if !ok {
@@ -93,14 +92,14 @@
 		m.Draining = true
 		if edit.Set(n, m) {
 			changed[n] = true
-			l.note("machine is asked back", "machine", id, "block", n)
+			l.logWhenApplied("holder asked to release machine", "machine", id, "block", n)
 		}
 	}
 }
 
-// markReturned marks machines of the pool that are to go back to the cloud. They go once
+// markForReturn marks machines of the pool for return to the cloud. They are returned once
 // the mark is durable.
-func (l *Leader) markReturned(edit *state.Edit, ids []core.MachineID) {
+func (l *Leader) markForReturn(edit *state.Edit, ids []core.MachineID) {
 	for _, id := range ids {
 		m, ok := edit.Find(state.PoolInventory, id)
 		if !ok || m.PoolState != state.PoolFree {
@@ -108,20 +107,20 @@
 		}
 		m.PoolState = state.PoolReturning
 		if edit.Set(state.PoolInventory, m) {
-			l.note("machine is returned", "machine", id, "type", m.Type)
+			l.logWhenApplied("machine marked for return to the cloud", "machine", id, "type", m.Type)
 		}
 	}
 }
 
-// noteGone writes down which returns the cloud has confirmed, and forgets
-// machines that are gone once the list no longer can name them.
-func (l *Leader) noteGone(edit *state.Edit) {
+// recordReturned records the returns that the cloud has confirmed, and removes machines
+// that are gone once the cloud's list can no longer contain them.
+func (l *Leader) recordReturned(edit *state.Edit) {
 	wall := l.Loop.WallNow()
-	for _, id := range core.SortedKeys(l.done) {
+	for _, id := range core.SortedKeys(l.returned) {
 		m, pooled := edit.Find(state.PoolInventory, id)
 		_, held := l.Mirror.MachineBlock(id)
 		if !pooled && !held || pooled && m.PoolState == state.PoolGone {
-			delete(l.done, id)
+			delete(l.returned, id)
 			continue
 		}
 		m.ID, m.PoolState, m.Since = id, state.PoolGone, wall
@@ -131,26 +130,26 @@
 			edit.Add(state.PoolInventory, m)
 		}
 	}
-	listed := core.WallTime(3*l.Config.CloudLimits.ListLag.Milliseconds() + 20000)
+	listRetention := core.WallTime(3*l.Config.CloudLimits.ListLag.Milliseconds() + 20000)
 	for m := range l.Mirror.Inventory(state.PoolInventory).All() {
-		if _, held := l.Mirror.MachineBlock(m.ID); m.PoolState == state.PoolGone && !held && wall-m.Since > listed {
+		if _, held := l.Mirror.MachineBlock(m.ID); m.PoolState == state.PoolGone && !held && wall-m.Since > listRetention {
 			edit.Remove(state.PoolInventory, m.ID)
 		}
 	}
 }
 
-// lookAtList adopts machines that nobody knows of, and gives back failed ones.
-func (l *Leader) lookAtList(edit *state.Edit) {
-	for _, id := range core.SortedKeys(l.list) {
-		m := l.list[id]
+// reconcileList adopts listed machines that no record contains, and returns failed ones.
+func (l *Leader) reconcileList(edit *state.Edit) {
+	for _, id := range core.SortedKeys(l.listed) {
+		m := l.listed[id]
 		known, pooled := edit.Find(state.PoolInventory, id)
 		if m.Phase == api.MachineFailed {
 			if !pooled || known.PoolState != state.PoolGone {
-				l.sendBack(id)
+				l.queueReturn(id)
 			}
 			continue
 		}
-		if _, held := l.Mirror.MachineBlock(id); held || pooled || l.done[id] || l.sending[id] || l.pendingRent(id) {
+		if _, held := l.Mirror.MachineBlock(id); held || pooled || l.returned[id] || l.returnPending[id] || l.pendingRent(id) {
 			continue
 		}
 		adopted := state.Machine{
@@ -158,26 +157,27 @@
 			Since: l.Loop.WallNow() - core.WallTime(m.AgeS*1000), LastTerm: l.Mirror.Term.Record.Last,
 		}
 		if edit.Add(state.PoolInventory, adopted) {
-			l.note("machine adopted", "machine", id, "type", m.Type, "phase", m.Phase)
+			l.logWhenApplied("unrecorded machine adopted", "machine", id, "type", m.Type, "phase", m.Phase)
 		}
 	}
 }
 
-// noteRented writes down the machines that were rented. They stay on the list
-// until the records show them.
-func (l *Leader) noteRented(edit *state.Edit) {
-	still := l.rented[:0]
+// recordRented records the machines that were rented. They are kept here until the mirror
+// shows them.
+func (l *Leader) recordRented(edit *state.Edit) {
+	unrecorded := l.rented[:0]
 	for _, m := range l.rented {
 		_, held := l.Mirror.MachineBlock(m.ID)
 		if l.Mirror.Inventory(state.PoolInventory).VersionOf(m.ID) != 0 || held {
 			continue
 		}
-		still = append(still, m)
+		unrecorded = append(unrecorded, m)
 		edit.Add(state.PoolInventory, m)
 	}
-	l.rented = still
+	l.rented = unrecorded
 }
 
+// pendingRent returns whether a machine has been rented but is not yet shown by the mirror.
 func (l *Leader) pendingRent(id core.MachineID) bool {
 	for _, m := range l.rented {
 		if m.ID == id {
@@ -187,19 +187,19 @@
 	return false
 }
 
-// NoteUnassigned notes a machine that reports though no block has it.
+// NoteUnassigned handles a report from a machine that belongs to no block.
 func (l *Leader) NoteUnassigned(rep *api.Report) {
 	id := core.MachineID(rep.Machine)
-	if _, known := l.list[id]; known || l.ended {
+	if _, known := l.listed[id]; known || l.stopped {
 		return
 	}
-	// The report may be a late copy from a machine that is gone: only an answer
-	// to a question shows that it is there.
-	l.unknown.Probe(rep, func() {
-		if _, known := l.list[id]; known || l.ended {
+	// The report may be a late copy from a machine that is gone: only the response to a
+	// probe shows that it exists.
+	l.prober.Probe(rep, func() {
+		if _, known := l.listed[id]; known || l.stopped {
 			return
 		}
-		l.list[id] = api.ListedMachine{ID: rep.Machine, Addr: rep.Addr, Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot, Phase: api.MachineRunning}
-		l.act()
+		l.listed[id] = api.ListedMachine{ID: rep.Machine, Addr: rep.Addr, Type: rep.Type, Zone: rep.Zone, Spot: rep.Spot, Phase: api.MachineRunning}
+		l.commitNext()
 	})
 }
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -12,88 +12,90 @@
 	"lichenstair/internal/state"
 )
 
-// plan asks the capacity package what should be where.
+// plan collects the input for the capacity package and returns its plan.
 func (l *Leader) plan(edit *state.Edit, now core.Time, wall core.WallTime) capacity.Plan {
-	in := capacity.Input{Now: wall, Types: l.priced(), GangKinds: l.GangKinds(), TeamQuota: map[string]float64{}, UnavailableOffers: l.closedOffers(now), IdleTimeout: l.Config.Operator.IdleTimeout}
+	in := capacity.Input{Now: wall, Types: l.pricedTypes(), GangKinds: l.GangKinds(), TeamQuota: map[string]float64{}, UnavailableOffers: l.unavailableOffers(now), IdleTimeout: l.Config.Operator.IdleTimeout}
 	for _, t := range l.Mirror.Teams(l.Config.Teams) {
 		in.TeamQuota[t.Name] = t.CPUsMax
 	}
 	idle := l.IdleMachines()
-	waiting := l.watchBoots(edit, now, wall, in.Types, idle)
-	doubtful, hopeless := l.judgeBoots(edit, now, &in, waiting)
-	in.Machines = append(l.pooledMachines(edit, now, doubtful), l.blockMachines(edit, idle, doubtful)...)
+	waiting := l.trackBoots(edit, now, wall, in.Types, idle)
+	overdue, timedOut := l.evaluateBoots(edit, now, &in, waiting)
+	in.Machines = append(l.pooledMachines(edit, now, overdue), l.blockMachines(edit, idle, overdue)...)
 	in.Jobs = l.unfinishedJobs(wall)
-	l.trend.ObserveArrivals(now, slices.DeleteFunc(slices.Clone(in.Jobs), func(j *capacity.Job) bool { return j.ReadySoon }), in.GangKinds, in.Types)
-	in.Forecast = l.trend.Forecast()
+	l.demandTrend.ObserveArrivals(now, slices.DeleteFunc(slices.Clone(in.Jobs), func(j *capacity.Job) bool { return j.ReadySoon }), in.GangKinds, in.Types)
+	in.Forecast = l.demandTrend.Forecast()
 	plan := capacity.MakePlan(in)
-	for _, id := range hopeless {
-		l.note("machine has not come up; it is returned", "machine", id, "age", waiting[id].Age.String())
+	for _, id := range timedOut {
+		l.logWhenApplied("machine did not boot in time; returning it to the cloud", "machine", id, "age", waiting[id].Age.String())
 	}
-	plan.Return = append(plan.Return, hopeless...)
-	l.trend.Observe(now, plan.Demand)
+	plan.Return = append(plan.Return, timedOut...)
+	l.demandTrend.Observe(now, plan.Demand)
 	return plan
 }
 
-// closedOffers lists the kinds of machine that the cloud refused lately.
-func (l *Leader) closedOffers(now core.Time) map[capacity.Offer]bool {
-	closed := map[capacity.Offer]bool{}
-	for offer, until := range l.closed {
+// unavailableOffers returns the offers that the cloud has recently refused.
+func (l *Leader) unavailableOffers(now core.Time) map[capacity.Offer]bool {
+	unavailable := map[capacity.Offer]bool{}
+	for offer, until := range l.unavailableUntil {
 		if until > now {
-			closed[offer] = true
+			unavailable[offer] = true
 		} else {
-			delete(l.closed, offer)
+			delete(l.unavailableUntil, offer)
 		}
 	}
-	return closed
+	return unavailable
 }
 
-// judgeBoots tells which machines should long have come up, and which of the pool never
-// will, and closes the offers of which too many are overdue.
-func (l *Leader) judgeBoots(edit *state.Edit, now core.Time, in *capacity.Input, waiting map[core.MachineID]capacity.PendingMachine) (doubtful map[core.MachineID]bool, hopeless []core.MachineID) {
-	usual := func(typ string) time.Duration { return core.Seconds(in.Types[typ].BootS) }
-	doubtful = map[core.MachineID]bool{}
+// evaluateBoots returns the machines whose boot is overdue and the machines of the pool
+// whose boot has timed out, and marks offers as unavailable of which too many machines are
+// overdue.
+func (l *Leader) evaluateBoots(edit *state.Edit, now core.Time, in *capacity.Input, waiting map[core.MachineID]capacity.PendingMachine) (overdue map[core.MachineID]bool, timedOut []core.MachineID) {
+	bootTime := func(typ string) time.Duration { return core.Seconds(in.Types[typ].BootS) }
+	overdue = map[core.MachineID]bool{}
 	var pending []capacity.PendingMachine
 	for _, id := range core.SortedKeys(waiting) {
 		boot := waiting[id]
 		pending = append(pending, boot)
-		doubtful[id] = l.boots.Overdue(now, boot, usual(boot.Type))
-		if _, pooled := edit.Find(state.PoolInventory, id); pooled && l.boots.TimedOut(now, boot, usual(boot.Type)) {
-			hopeless = append(hopeless, id)
+		overdue[id] = l.bootTimes.Overdue(now, boot, bootTime(boot.Type))
+		if _, pooled := edit.Find(state.PoolInventory, id); pooled && l.bootTimes.TimedOut(now, boot, bootTime(boot.Type)) {
+			timedOut = append(timedOut, id)
 		}
 	}
-	for offer := range l.boots.StalledOffers(now, pending, usual) {
+	for offer := range l.bootTimes.StalledOffers(now, pending, bootTime) {
 		in.UnavailableOffers[offer] = true
 	}
-	return doubtful, hopeless
+	return overdue, timedOut
 }
 
-// pooledMachines describes the machines of the pool that can be assigned, and follows since
-// when they have been there.
-func (l *Leader) pooledMachines(edit *state.Edit, now core.Time, doubtful map[core.MachineID]bool) (out []*capacity.Machine) {
+// pooledMachines describes the machines of the pool that can be assigned, and tracks since
+// when they have been free.
+func (l *Leader) pooledMachines(edit *state.Edit, now core.Time, overdue map[core.MachineID]bool) (out []*capacity.Machine) {
 	pooled := map[core.MachineID]bool{}
 	for _, m := range edit.All(state.PoolInventory) {
 		if m.PoolState != state.PoolFree {
 			continue
 		}
 		pooled[m.ID] = true
-		if l.free[m.ID] == 0 {
-			l.free[m.ID] = now
+		if l.freeSince[m.ID] == 0 {
+			l.freeSince[m.ID] = now
 		}
-		machine := l.describe(&m, capacity.NoBlock, doubtful)
-		machine.FreeFor = now.Sub(l.free[m.ID])
+		machine := l.describe(&m, capacity.NoBlock, overdue)
+		machine.FreeFor = now.Sub(l.freeSince[m.ID])
 		out = append(out, machine)
 	}
-	for id := range l.free {
+	for id := range l.freeSince {
 		if !pooled[id] {
-			delete(l.free, id)
+			delete(l.freeSince, id)
 		}
 	}
 	return out
 }
 
-// blockMachines describes the machines of the blocks that can be counted on. One that is
-// on its way back to the cloud can still stand in its block.
-func (l *Leader) blockMachines(edit *state.Edit, idle, doubtful map[core.MachineID]bool) (out []*capacity.Machine) {
+// blockMachines describes the machines of the blocks that can be counted on. A machine that
+// is already being returned to the cloud can still be in the inventory of its block; it is
+// left out.
+func (l *Leader) blockMachines(edit *state.Edit, idle, overdue map[core.MachineID]bool) (out []*capacity.Machine) {
 	leaving := map[core.MachineID]bool{}
 	for _, m := range edit.All(state.PoolInventory) {
 		leaving[m.ID] = m.PoolState != state.PoolFree
@@ -103,7 +105,7 @@
 			if m.ReturnRequested || m.Expiring || leaving[m.ID] {
 				continue
 			}
-			machine := l.describe(&m, n, doubtful)
+			machine := l.describe(&m, n, overdue)
 			machine.Draining, machine.Idle = m.Draining, idle[m.ID]
 			out = append(out, machine)
 		}
@@ -111,12 +113,12 @@
 	return out
 }
 
-func (l *Leader) describe(m *state.Machine, block int, doubtful map[core.MachineID]bool) *capacity.Machine {
-	return &capacity.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Block: block, Ready: l.ready(m), BootOverdue: doubtful[m.ID]}
+func (l *Leader) describe(m *state.Machine, block int, overdue map[core.MachineID]bool) *capacity.Machine {
+	return &capacity.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Block: block, Ready: l.hasBooted(m), BootOverdue: overdue[m.ID]}
 }
 
-// unfinishedJobs describes the jobs that may run, and those that are expected to before
-// long, the oldest first.
+// unfinishedJobs describes the jobs that may run and those that are expected to soon, the
+// oldest first.
 func (l *Leader) unfinishedJobs(wall core.WallTime) (jobs []*capacity.Job) {
 	failing, running := l.FailingJobs(), l.RunningTasks()
 	for id, e := range l.Mirror.Jobs {
@@ -139,7 +141,7 @@
 }
 
 // markGuaranteed marks the jobs that fit into their teams' guarantees: first those that may
-// run, then those that are expected to.
+// run, then those that are expected to soon.
 func (l *Leader) markGuaranteed(jobs []*capacity.Job) {
 	guarantees := capacity.NewGuarantees(l.Config.Teams)
 	for _, expected := range []bool{false, true} {
@@ -153,8 +155,8 @@
 	}
 }
 
-// describeJob describes an unfinished job, or nothing: no machine is kept or rented for what
-// cannot start.
+// describeJob describes an unfinished job. It returns nil for a job that cannot start soon,
+// so that no machine is kept or rented for it.
 func (l *Leader) describeJob(id core.JobID, e *state.JobEntry, wall core.WallTime, running map[core.JobID]int) *capacity.Job {
 	block, ok := l.Mirror.TeamBlock(e.Team)
 	at, ready := l.Mirror.ReadyAt(e)
@@ -181,25 +183,25 @@
 	return j
 }
 
-// watchBoots follows which machines have not come up yet, and how long those took that
-// have.
-func (l *Leader) watchBoots(edit *state.Edit, now core.Time, wall core.WallTime, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.PendingMachine {
+// trackBoots returns the machines that have not booted yet, and records the boot times of
+// those that have.
+func (l *Leader) trackBoots(edit *state.Edit, now core.Time, wall core.WallTime, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.PendingMachine {
 	waiting := map[core.MachineID]capacity.PendingMachine{}
-	look := func(m *state.Machine) {
+	track := func(m *state.Machine) {
 		age := time.Duration(wall-m.Since) * time.Millisecond
-		switch up := l.ready(m) || idle[m.ID]; {
+		switch up := l.hasBooted(m) || idle[m.ID]; {
 		case !up && m.Since > 0 && m.PoolState == state.PoolFree && !m.ReturnRequested:
 			waiting[m.ID] = capacity.PendingMachine{Offer: capacity.Offer{Type: m.Type, Zone: m.Zone, Spot: m.Spot}, Age: age}
 		case up && l.booting[m.ID]:
-			l.boots.Record(now, m.Type, age, core.Seconds(types[m.Type].BootS))
+			l.bootTimes.Record(now, m.Type, age, core.Seconds(types[m.Type].BootS))
 		}
 	}
 	for _, m := range edit.All(state.PoolInventory) {
-		look(&m)
+		track(&m)
 	}
 	for _, n := range core.SortedKeys(l.Mirror.Blocks) {
 		for m := range l.Mirror.Inventory(n).All() {
-			look(&m)
+			track(&m)
 		}
 	}
 	l.booting = map[core.MachineID]bool{}
@@ -209,7 +211,8 @@
 	return waiting
 }
 
-// ready tells whether a machine has booted: it was in use, or the list says so.
-func (l *Leader) ready(m *state.Machine) bool {
-	return m.InUse || m.LastTerm > 0 || l.list[m.ID].Phase == api.MachineRunning
+// hasBooted returns whether a machine has booted: it has been in use, or the cloud lists it
+// as running.
+func (l *Leader) hasBooted(m *state.Machine) bool {
+	return m.InUse || m.LastTerm > 0 || l.listed[m.ID].Phase == api.MachineRunning
 }
