--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -8,141 +8,144 @@
 	"lichenstair/internal/state"
 )
 
-// membership is where a node stands with the state service.
+// membership is the status of a node at the state service.
 type membership int
 
 const (
-	outside membership = iota // has no tenure
-	joining                   // asks for a tenure and writes its member key
-	member                    // holds a tenure
+	outside membership = iota // has no lease
+	joining                   // is obtaining a lease and writing its member key
+	member                    // holds a lease
 )
 
 func (m membership) String() string { return [...]string{"outside", "joining", "member"}[m] }
 
-// become is the one place where the node's membership changes.
-func (n *Node) become(m membership) {
+// setMembership changes the node's membership. No other code does.
+func (n *Node) setMembership(m membership) {
 	if m != n.membership {
-		n.log.Info("membership changes", "from", n.membership.String(), "to", m.String(), "tenure", n.tenure)
+		n.log.Info("membership changed", "from", n.membership.String(), "to", m.String(), "lease", n.leaseID)
 	}
 	n.membership = m
 	if m == outside {
-		n.tenure = 0
+		n.leaseID = 0
 	}
 }
 
-// join keeps the node's tenure. A tenure left over from before a restart is
-// ended at once, so that its blocks need not wait for it to run out.
-func (n *Node) join() {
+// maintainLease obtains and renews the node's lease. A lease left over from before a
+// restart is revoked at once, so that its blocks need not wait until it expires.
+func (n *Node) maintainLease() {
 	if !n.mirror.Complete() {
 		return
 	}
 	switch n.membership {
 	case outside:
-		n.become(joining)
-		again := func() { n.loop.After(300*time.Millisecond, func() { n.become(outside) }) }
-		start := func() {
-			n.state.GrantLease(n.cfg.Operator.LeaseTTL, func(t core.LeaseID) {
-				if t == 0 {
-					again()
+		n.setMembership(joining)
+		retry := func() { n.loop.After(300*time.Millisecond, func() { n.setMembership(outside) }) }
+		acquire := func() {
+			n.state.GrantLease(n.cfg.Operator.LeaseTTL, func(id core.LeaseID) {
+				if id == 0 {
+					retry()
 					return
 				}
-				n.tenure, n.renewedAt = t, n.loop.Now()
-				n.register(again)
+				n.leaseID, n.renewedAt = id, n.loop.Now()
+				n.writeMemberKey(retry)
 			})
 		}
 		old, ok := n.mirror.Members[n.cfg.Host]
 		if !ok {
-			start()
+			acquire()
 			return
 		}
-		n.log.Info("ending the tenure of our previous process", "tenure", old.Record.LeaseID)
+		n.log.Info("revoking the lease of the previous process", "lease", old.Record.LeaseID)
 		n.state.RevokeLease(old.Record.LeaseID, func(ok bool) {
 			if !ok {
-				again()
+				retry()
 				return
 			}
-			// The mirror has to show that the key is gone before it is made anew.
-			n.mirror.ConfirmFresh(func(bool) { start() })
+			// The mirror must show that the key is deleted before it is written again.
+			n.mirror.ConfirmFresh(func(bool) { acquire() })
 		})
 	case member:
-		if n.displaced() {
-			n.log.Info("our member key is not ours; joining anew", "tenure", n.tenure)
-			n.state.RevokeLease(n.tenure, func(bool) {})
-			n.become(outside)
+		if n.memberKeyReplaced() {
+			n.log.Info("member key belongs to another lease; joining again", "lease", n.leaseID)
+			n.state.RevokeLease(n.leaseID, func(bool) {})
+			n.setMembership(outside)
 			return
 		}
 		if n.renewing || n.loop.Now().Sub(n.renewedAt) < n.cfg.Operator.LeaseTTL/4 {
 			return
 		}
 		n.renewing = true
-		asked, tenure := n.loop.Now(), n.tenure
-		n.state.RenewLease(tenure, func(status int) {
+		sentAt, leaseID := n.loop.Now(), n.leaseID
+		n.state.RenewLease(leaseID, func(status int) {
 			n.renewing = false
 			switch {
-			case n.tenure != tenure:
+			case n.leaseID != leaseID:
 			case status >= 200 && status < 300:
-				n.renewedAt = asked
+				n.renewedAt = sentAt
 			case status == 404:
-				n.log.Info("our tenure has run out", "tenure", n.tenure)
-				n.become(outside)
+				n.log.Info("lease expired", "lease", n.leaseID)
+				n.setMembership(outside)
 			}
 		})
 	}
 }
 
-// displaced tells whether the member key names another tenure than ours, though ours was
-// written. A registration of an earlier tenure, carried out late, had replaced it: the
-// node renewed its own for ever, nobody counted it among the live, and as a leader it
-// was deposed by everybody at once.
-func (n *Node) displaced() bool {
-	return n.mirror.HasReached(n.registered) && n.mirror.Members[n.cfg.Host].Record.LeaseID != n.tenure
+// memberKeyReplaced returns whether the member key names another lease than ours, though
+// ours was written. A registration under an earlier lease, applied late, had replaced it:
+// the node kept renewing its own lease, no other node counted it as live, and as the leader
+// it was deposed by all of them at once.
+func (n *Node) memberKeyReplaced() bool {
+	return n.mirror.HasReached(n.registeredAt) && n.mirror.Members[n.cfg.Host].Record.LeaseID != n.leaseID
 }
 
-func (n *Node) register(again func()) {
-	tenure := n.tenure
-	put := state.Put(state.KeyMember(n.cfg.Host), state.Member{Host: n.cfg.Host, LeaseID: tenure})
-	put.LeaseID = uint64(tenure)
+// writeMemberKey writes the member key under the new lease.
+func (n *Node) writeMemberKey(retry func()) {
+	leaseID := n.leaseID
+	put := state.Put(state.KeyMember(n.cfg.Host), state.Member{Host: n.cfg.Host, LeaseID: leaseID})
+	put.LeaseID = uint64(leaseID)
 	t := api.Txn{
 		If:   []api.Condition{{Key: put.Set, Version: uint64(n.mirror.Members[n.cfg.Host].Version)}},
 		Then: []api.Change{put},
 	}
 	n.state.TxnHighPriority(t, func(r state.Result) {
-		if n.tenure != tenure || n.membership != joining {
-			// The tenure was given up meanwhile. A node that took itself for a
-			// member without one was elected under a key that no tenure ends.
+		if n.leaseID != leaseID || n.membership != joining {
+			// The lease was given up in the meantime. Without this check a node took itself
+			// for a member without a lease, and was elected under a leader key that no
+			// lease expires.
 			return
 		}
 		if r.Outcome != state.Applied {
-			again()
+			retry()
 			return
 		}
-		n.registered = r.Revision
-		n.become(member)
+		n.registeredAt = r.Revision
+		n.setMembership(member)
 	})
 }
 
-// leaderless tells whether nobody leads: there is no leader's key, or one that
-// outlived its tenure, which should not be and must not last.
+// leaderless returns whether there is no leader: there is no leader key, or one that has
+// outlived its lease, which should not happen and must not last.
 func (n *Node) leaderless() bool {
 	l := n.mirror.Leader.Record
 	return l == nil || n.mirror.Members[l.Host].Record.LeaseID != l.LeaseID
 }
 
-// elect makes this node the leader if there is none.
-func (n *Node) elect() {
+// campaign tries to make this node the leader if there is none, after a random delay of up
+// to 150 ms.
+func (n *Node) campaign() {
 	if n.membership != member || n.electing || !n.leaderless() {
 		return
 	}
 	n.electing = true
 	n.loop.After(time.Duration(n.rnd.Int64N(int64(150*time.Millisecond))), func() {
-		if !n.leaderless() || n.membership != member || n.tenure == 0 {
+		if !n.leaderless() || n.membership != member || n.leaseID == 0 {
 			n.electing = false
 			return
 		}
-		tenure := n.tenure
+		leaseID := n.leaseID
 		term := n.mirror.Term.Record.Last + 1
-		put := state.Put(state.KeyLeader, state.Leader{Host: n.cfg.Host, LeaseID: tenure, Term: term})
-		put.LeaseID = uint64(tenure)
+		put := state.Put(state.KeyLeader, state.Leader{Host: n.cfg.Host, LeaseID: leaseID, Term: term})
+		put.LeaseID = uint64(leaseID)
 		t := api.Txn{
 			If: []api.Condition{{Key: state.KeyLeader, Version: uint64(n.mirror.Leader.Version)}, {Key: state.KeyTerm, Version: uint64(n.mirror.Term.Version)}},
 			Then: []api.Change{
@@ -151,8 +154,8 @@
 			},
 		}
 		n.state.TxnHighPriority(t, func(r state.Result) {
-			if r.Outcome == state.LeaseExpired && n.tenure == tenure {
-				n.become(outside)
+			if r.Outcome == state.LeaseExpired && n.leaseID == leaseID {
+				n.setMembership(outside)
 			}
 			n.mirror.ConfirmFresh(func(bool) { n.electing = false })
 		})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,5 +1,5 @@
-// Package node puts the parts of a controller together: its membership, the
-// election, the blocks it holds, and the answers to users and workers.
+// Package node assembles a controller: its membership, the election, the blocks it holds,
+// and the handling of requests from users and workers.
 package node
 
 import (
@@ -33,144 +33,144 @@
 	workers *worker.Client
 	metrics *metrics.Metrics
 
-	membership membership
-	tenure     core.LeaseID
-	renewedAt  core.Time
-	registered core.Revision // of our member key
-	renewing   bool
-	ticked     core.Time // when tick last ran
-	electing   bool
-	leader     *leader.Leader
-	holders    map[int]*block.Holder
-
-	creates  []*create
-	creating bool
-	// Policy chooses how tasks are placed; set before Start.
+	membership   membership
+	leaseID      core.LeaseID
+	renewedAt    core.Time
+	registeredAt core.Revision // revision of our member key
+	renewing     bool
+	lastTick     core.Time // when tick last ran
+	electing     bool
+	leader       *leader.Leader
+	holders      map[int]*block.Holder
+
+	submissions []*submission
+	committing  bool
+	// Policy selects how tasks are placed. It must be set before Start.
 	Policy placement.Policy
 
-	parked        []parked
-	misrouted     map[core.MachineID]misroutedReport
-	prober        *worker.Prober // asks the machines of misrouted reports whether they hear us
-	grants        map[int]grantSeen
-	cancellations []confirmedCancellation // confirmed here lately
-	shapes        capacity.GangShapes
-	peers         map[core.Host]heard
-	broadcast     func([]byte)
+	deferred       []deferredReport
+	misrouted      map[core.MachineID]misroutedReport
+	prober         *worker.Prober // checks whether the machines of misrouted reports can be reached from here
+	observedGrants map[int]observedGrant
+	cancellations  []confirmedCancellation // recently written by this node
+	gangShapes     capacity.GangShapes
+	peers          map[core.Host]peerHeartbeat
+	broadcast      func([]byte)
 }
 
 const (
-	tick       = 200 * time.Millisecond
-	indexEvery = time.Second
+	tickInterval      = 200 * time.Millisecond
+	freshnessInterval = time.Second
 )
 
-// New makes a node; Start begins its work. broadcast sends a frame to the other
-// controllers.
+// New returns a node, which Start starts. broadcast sends a frame to the other controllers.
 func New(cfg *config.Config, loop core.Loop, call core.Caller, broadcast func([]byte), log *slog.Logger, rnd *rand.Rand) *Node {
-	n := &Node{cfg: cfg, loop: loop, log: log, rnd: rnd, broadcast: broadcast, holders: map[int]*block.Holder{}, peers: map[core.Host]heard{}, misrouted: map[core.MachineID]misroutedReport{}, grants: map[int]grantSeen{}}
+	n := &Node{cfg: cfg, loop: loop, log: log, rnd: rnd, broadcast: broadcast, holders: map[int]*block.Holder{}, peers: map[core.Host]peerHeartbeat{}, misrouted: map[core.MachineID]misroutedReport{}, observedGrants: map[int]observedGrant{}}
 	n.state = state.NewClient(loop, call, cfg.State, cfg.StateLimits, cfg.Nodes)
 	n.mirror = state.NewMirror(loop, n.state, log)
 	n.cloud = cloud.NewClient(loop, call, cfg.Cloud, cfg.CloudLimits)
 	n.workers = worker.NewClient(call)
 	n.metrics = metrics.New()
 	n.prober = worker.NewProber(n.workers, maxProbes)
-	n.mirror.OnChange = n.changed
+	n.mirror.OnChange = n.onChange
 	return n
 }
 
-// Start begins the node's work.
+// Start starts the node.
 func (n *Node) Start() {
 	n.mirror.Start()
-	n.loop.After(tick, n.tick)
-	n.index()
-	n.beat()
+	n.loop.After(tickInterval, n.tick)
+	n.confirmFreshness()
+	n.sendHeartbeat()
 }
 
-// index proves, over and over, how far the mirror is up to date.
-func (n *Node) index() {
+// confirmFreshness confirms periodically that the mirror is up to date.
+func (n *Node) confirmFreshness() {
 	if n.mirror.Complete() {
 		n.mirror.ConfirmFresh(func(bool) {})
 	}
-	n.loop.After(indexEvery, n.index)
+	n.loop.After(freshnessInterval, n.confirmFreshness)
 }
 
-// sure tells whether our tenure has certainly not run out.
-func (n *Node) sure() bool {
+// leaseValid returns whether our lease has certainly not expired.
+func (n *Node) leaseValid() bool {
 	return n.membership == member && n.loop.Now().Sub(n.renewedAt) < n.cfg.Operator.LeaseTTL
 }
 
-// standstill is how late a tick is when the process, not its timer, was to blame.
-const standstill = time.Second
+// pauseThreshold is the delay of a tick above which the process is taken to have been
+// paused, rather than its timer to be late.
+const pauseThreshold = time.Second
 
 func (n *Node) tick() {
-	n.loop.After(tick, n.tick)
+	n.loop.After(tickInterval, n.tick)
 	now := n.loop.Now()
-	if late := now.Sub(n.ticked) - tick; n.ticked > 0 && late > standstill {
-		// Reports and answers of that time still wait to be taken in: nobody was
-		// silent because we did not listen.
-		n.log.Info("we stood still", "for", late.String(), "tenure_sure", n.sure())
+	if late := now.Sub(n.lastTick) - tickInterval; n.lastTick > 0 && late > pauseThreshold {
+		// Reports and responses that arrived in the meantime are still queued: machines are
+		// not silent just because we were not reading.
+		n.log.Info("process was paused", "for", late.String(), "lease_valid", n.leaseValid())
 		for _, h := range n.holders {
 			h.NotePause()
 		}
 	}
-	n.ticked = now
-	n.join()
-	n.elect()
+	n.lastTick = now
+	n.maintainLease()
+	n.campaign()
 	if n.leader != nil {
 		n.leader.Tick()
 	}
 	for _, num := range core.SortedKeys(n.holders) {
 		n.holders[num].Tick()
 	}
-	n.measure()
+	n.updateMetrics()
 }
 
 // Metrics returns the controller's metrics.
 func (n *Node) Metrics() *metrics.Metrics { return n.metrics }
 
-// measure brings the metrics of roles and of the state service in line with what is so now.
-func (n *Node) measure() {
+// updateMetrics updates the metrics of the leader role and of the state service.
+func (n *Node) updateMetrics() {
 	term := core.Term(0)
 	if n.leader != nil {
 		term = n.leader.Term()
 	}
 	n.metrics.LeaderTerm.Set(float64(term))
 	n.metrics.StateRevision.Set(float64(n.mirror.Revision()))
-	n.metrics.ProofAge.Set(n.contact().Seconds())
+	n.metrics.ProofAge.Set(n.staleness().Seconds())
 }
 
-// changed takes in what has changed in the mirror.
-func (n *Node) changed(t state.ChangeSet) {
+// onChange handles changes of the mirror.
+func (n *Node) onChange(t state.ChangeSet) {
 	for _, id := range t.Jobs {
-		if e := n.mirror.Jobs[id]; e != nil && e.Spec != nil && n.mayRun(e) {
-			n.shapes.Observe(n.loop.Now(), e.Spec)
+		if e := n.mirror.Jobs[id]; e != nil && e.Spec != nil && n.isReady(e) {
+			n.gangShapes.Observe(n.loop.Now(), e.Spec)
 		}
 	}
-	n.follow()
+	n.updateRoles()
 	for _, num := range core.SortedKeys(n.holders) {
 		n.holders[num].ApplyChanges(t)
 	}
 	if n.leader != nil {
 		n.leader.Tick()
 	}
-	n.unpark()
+	n.retryDeferred()
 }
 
-func (n *Node) mayRun(e *state.JobEntry) bool {
+func (n *Node) isReady(e *state.JobEntry) bool {
 	_, ok := n.mirror.ReadyAt(e)
 	return ok
 }
 
-// follow starts and ends the roles that the records give this node.
-func (n *Node) follow() {
+// updateRoles starts and stops the leader and the holders according to the records.
+func (n *Node) updateRoles() {
 	l := n.mirror.Leader
-	ours := n.tenure != 0 && l.Record != nil && l.Record.Host == n.cfg.Host && l.Record.LeaseID == n.tenure
+	ours := n.leaseID != 0 && l.Record != nil && l.Record.Host == n.cfg.Host && l.Record.LeaseID == n.leaseID
 	if n.leader != nil && (!ours || n.leader.Version() != l.Version) {
 		n.leader.Stop()
 		n.leader = nil
 	}
 	if ours && n.leader == nil {
 		n.leader = leader.New(leader.Env{
-			Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Cloud: n.cloud, Workers: n.workers, GangKinds: n.kept, ReplacementHolder: n.isolated, HolderReady: n.settled, FailingJobs: n.failing, RunningTasks: n.allRunning, IdleMachines: n.idle, LeaseValid: n.sure,
+			Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Cloud: n.cloud, Workers: n.workers, GangKinds: n.gangKinds, ReplacementHolder: n.replacementHolder, HolderReady: n.holderReady, FailingJobs: n.failingJobs, RunningTasks: n.runningTasks, IdleMachines: n.idleMachines, LeaseValid: n.leaseValid,
 		}, l)
 	}
 	for _, num := range core.SortedKeys(n.holders) {
@@ -184,18 +184,18 @@
 	}
 	for _, num := range core.SortedKeys(n.mirror.Blocks) {
 		b := n.mirror.Blocks[num]
-		if n.holders[num] == nil && n.tenure != 0 && b.Record.Holder == n.cfg.Host && b.Record.LeaseID == n.tenure {
+		if n.holders[num] == nil && n.leaseID != 0 && b.Record.Holder == n.cfg.Host && b.Record.LeaseID == n.leaseID {
 			n.holders[num] = block.New(block.Env{
-				Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Workers: n.workers, Types: n.types, GangKinds: n.kept, Policy: n.Policy, Metrics: n.metrics,
+				Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Workers: n.workers, Types: n.types, GangKinds: n.gangKinds, Policy: n.Policy, Metrics: n.metrics,
 			}, b.Record)
 			n.metrics.BlockTerm.WithLabelValues(strconv.Itoa(num)).Set(float64(b.Record.Term))
 		}
 	}
 }
 
-// kept lists the kinds of machine that are kept for gangs even while none waits.
-func (n *Node) kept() capacity.GangKinds {
-	return n.shapes.GangKinds(n.loop.Now(), n.cfg.Objectives, n.types())
+// gangKinds returns the machine kinds that are kept for gangs even while none is waiting.
+func (n *Node) gangKinds() capacity.GangKinds {
+	return n.gangShapes.GangKinds(n.loop.Now(), n.cfg.Objectives, n.types())
 }
 
 func (n *Node) types() map[string]api.MachineType { return n.mirror.Types.Record }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -10,58 +10,58 @@
 )
 
 const (
-	beatEvery   = 500 * time.Millisecond
-	beatValid   = 2500 * time.Millisecond
-	contactLost = 4 * time.Second
-	noContact   = time.Hour
+	heartbeatInterval = 500 * time.Millisecond
+	heartbeatTTL      = 2500 * time.Millisecond
+	maxStaleness      = 4 * time.Second
+	unknownStaleness  = time.Hour
 )
 
-// heard is the last beat of a peer.
-type heard struct {
+// peerHeartbeat is the latest heartbeat of a peer.
+type peerHeartbeat struct {
 	peer.Heartbeat
-	at core.Time
+	receivedAt core.Time
 }
 
-// beat tells the other controllers how this one stands.
-func (n *Node) beat() {
-	n.loop.After(beatEvery, n.beat)
-	n.shareChanges()
-	b := peer.Heartbeat{Host: n.cfg.Host, LeaseID: n.tenure, Staleness: n.contact(), WriteRate: uint64(10 * n.state.WriteRate())}
+// sendHeartbeat sends this node's status to the other controllers, periodically.
+func (n *Node) sendHeartbeat() {
+	n.loop.After(heartbeatInterval, n.sendHeartbeat)
+	n.shareWriteRate()
+	b := peer.Heartbeat{Host: n.cfg.Host, LeaseID: n.leaseID, Staleness: n.staleness(), WriteRate: uint64(10 * n.state.WriteRate())}
 	for _, num := range core.SortedKeys(n.holders) {
 		b.Blocks = append(b.Blocks, n.holders[num].BlockHint())
 		b.Running = append(b.Running, n.holders[num].RunningHints()...)
 		b.Failing = append(b.Failing, n.holders[num].FailingJobs()...)
 	}
-	// If they are too many for a frame, those with the most tasks matter most.
+	// If there are too many for a frame, those with the most tasks are kept.
 	slices.SortStableFunc(b.Running, func(x, y peer.RunningHint) int { return cmp.Compare(y.Tasks, x.Tasks) })
 	b.Misrouted = n.misroutedHints()
 	n.broadcast(peer.EncodeHeartbeat(b))
-	n.repeatCancellation()
+	n.rebroadcastCancellations()
 }
 
-// shareChanges takes up what the others leave of the rate of changes.
-func (n *Node) shareChanges() {
-	var others []float64
+// shareWriteRate lets this node use the part of the write rate that the others do not need.
+func (n *Node) shareWriteRate() {
+	var peerRates []float64
 	for _, p := range n.cfg.Peers {
-		used := -1.0
-		if h, ok := n.peers[p.Host]; ok && n.loop.Now().Sub(h.at) < beatValid {
-			used = float64(h.WriteRate) / 10
+		rate := -1.0
+		if h, ok := n.peers[p.Host]; ok && n.loop.Now().Sub(h.receivedAt) < heartbeatTTL {
+			rate = float64(h.WriteRate) / 10
 		}
-		others = append(others, used)
+		peerRates = append(peerRates, rate)
 	}
-	n.state.RedistributeWrites(others)
+	n.state.RedistributeWrites(peerRates)
 }
 
-// contact is how long ago the mirror was proven up to date.
-func (n *Node) contact() time.Duration {
+// staleness returns the time since the mirror was last confirmed to be up to date.
+func (n *Node) staleness() time.Duration {
 	at, ok := n.mirror.FreshAsOf()
 	if !ok {
-		return noContact
+		return unknownStaleness
 	}
 	return n.loop.Now().Sub(at)
 }
 
-// HandleFrame takes in a frame from another controller.
+// HandleFrame handles a frame from another controller.
 func (n *Node) HandleFrame(frame []byte) {
 	if ids, ok := peer.DecodeCancellations(frame); ok {
 		for _, id := range ids {
@@ -77,28 +77,28 @@
 	}
 	for _, p := range n.cfg.Peers {
 		if p.Host == b.Host {
-			n.peers[b.Host] = heard{b, n.loop.Now()}
+			n.peers[b.Host] = peerHeartbeat{b, n.loop.Now()}
 		}
 	}
 }
 
-// cutOff tells whether this node cannot reach the state service while another
-// one can. Users are better served there; if nobody can, nobody steps aside.
-func (n *Node) cutOff() bool {
-	if n.contact() < contactLost {
+// isCutOff returns whether this node cannot reach the state service while another one can.
+// Users are better served there; if no node can reach it, none steps aside.
+func (n *Node) isCutOff() bool {
+	if n.staleness() < maxStaleness {
 		return false
 	}
 	now := n.loop.Now()
 	for _, h := range n.peers {
-		if now.Sub(h.at) < beatValid && h.Staleness+now.Sub(h.at) < contactLost {
+		if now.Sub(h.receivedAt) < heartbeatTTL && h.Staleness+now.Sub(h.receivedAt) < maxStaleness {
 			return true
 		}
 	}
 	return false
 }
 
-// failing lists the jobs that their holders try one task at a time.
-func (n *Node) failing() map[core.JobID]bool {
+// failingJobs returns the jobs that their holders try one task at a time.
+func (n *Node) failingJobs() map[core.JobID]bool {
 	out := map[core.JobID]bool{}
 	for _, h := range n.holders {
 		for _, id := range h.FailingJobs() {
@@ -106,7 +106,7 @@
 		}
 	}
 	for _, p := range n.peers {
-		if n.loop.Now().Sub(p.at) < beatValid {
+		if n.loop.Now().Sub(p.receivedAt) < heartbeatTTL {
 			for _, id := range p.Failing {
 				out[id] = true
 			}
@@ -115,11 +115,11 @@
 	return out
 }
 
-// idle lists machines of blocks on which their holders have nothing.
-func (n *Node) idle() map[core.MachineID]bool {
+// idleMachines returns the machines on which their blocks' holders have placed nothing.
+func (n *Node) idleMachines() map[core.MachineID]bool {
 	out := map[core.MachineID]bool{}
 	for _, num := range core.SortedKeys(n.mirror.Blocks) {
-		if hint, ok := n.hint(num, n.mirror.Blocks[num].Record.Holder); ok {
+		if hint, ok := n.blockHint(num, n.mirror.Blocks[num].Record.Holder); ok {
 			for _, id := range hint.IdleMachines {
 				out[id] = true
 			}
@@ -128,8 +128,8 @@
 	return out
 }
 
-// allRunning counts the tasks that run, by job, as far as is known here.
-func (n *Node) allRunning() map[core.JobID]int {
+// runningTasks counts the running tasks by job, as far as they are known here.
+func (n *Node) runningTasks() map[core.JobID]int {
 	out := map[core.JobID]int{}
 	add := func(hints []peer.RunningHint) {
 		for _, r := range hints {
@@ -140,21 +140,21 @@
 		add(h.RunningHints())
 	}
 	for _, p := range n.peers {
-		if n.loop.Now().Sub(p.at) <= beatValid {
+		if n.loop.Now().Sub(p.receivedAt) <= heartbeatTTL {
 			add(p.Running)
 		}
 	}
 	return out
 }
 
-// running counts the tasks of a job that run, as far as is known here.
-func (n *Node) running(id core.JobID) (sum int) {
+// runningCount counts the running tasks of a job, as far as they are known here.
+func (n *Node) runningCount(id core.JobID) (sum int) {
 	for _, h := range n.holders {
 		sum += h.RunningCount(id)
 	}
 	now := n.loop.Now()
 	for _, h := range n.peers {
-		if now.Sub(h.at) > beatValid {
+		if now.Sub(h.receivedAt) > heartbeatTTL {
 			continue
 		}
 		for _, r := range h.Running {
--- a/internal/node/responses.go
+++ b/internal/node/responses.go
@@ -8,55 +8,57 @@
 	"lichenstair/internal/state"
 )
 
-// Response is what a request is answered with.
+// Response is the response to a request.
 type Response struct {
 	Status     int
 	Body       any
 	RetryAfter time.Duration
-	// ExpiresAt is when the answer is too old to be sent, for one that may change (0: it may
-	// not). A process can stand still between making and sending it, while another
-	// controller tells the user something newer.
+	// ExpiresAt is when the response is too old to be sent, if what it reports may change
+	// (0: it may not). The process can be paused between creating and sending it, while
+	// another controller reports something newer to the user.
 	ExpiresAt core.Time
 }
 
-// proofTime is how long an answer that may change can be sent.
-const proofTime = time.Second
+// responseValidity is how long a response that reports a changeable status can be sent.
+const responseValidity = time.Second
 
-// known answers with what the mirror, proven up to date, shows of a job.
-func (n *Node) known(id core.JobID, e *state.JobEntry) Response {
+// jobResponse returns the status of a job as shown by the mirror, which has been confirmed
+// to be up to date.
+func (n *Node) jobResponse(id core.JobID, e *state.JobEntry) Response {
 	a := Response{Status: 200, Body: n.status(id, e)}
 	if !e.Finished() {
-		a.ExpiresAt = n.loop.Now().Add(proofTime)
+		a.ExpiresAt = n.loop.Now().Add(responseValidity)
 	}
 	return a
 }
 
-// Reply hands over the answer, exactly once.
+// Reply delivers a response. It is called exactly once per request.
 type Reply func(Response)
 
-func refuse(status int, why, field string) Response {
-	return Response{Status: status, Body: api.Error{Error: why, Field: field}}
+func errorResponse(status int, message, field string) Response {
+	return Response{Status: status, Body: api.Error{Error: message, Field: field}}
 }
 
-// later asks the user to come back.
-func (n *Node) later(why string) Response {
-	return Response{Status: 503, Body: api.Error{Error: why}, RetryAfter: n.cfg.Operator.RetryAfter}
+// retryLater returns a response that asks the user to retry.
+func (n *Node) retryLater(message string) Response {
+	return Response{Status: 503, Body: api.Error{Error: message}, RetryAfter: n.cfg.Operator.RetryAfter}
 }
 
-// Ready answers health checks.
+// Ready handles a health check. The node is not ready until it has read the state and the
+// machine types, nor while it alone is cut off from the state service.
 func (n *Node) Ready(reply Reply) {
 	switch {
 	case !n.mirror.Complete() || len(n.types()) == 0:
-		reply(n.later("starting"))
+		reply(n.retryLater("starting"))
 		return
-	case n.cutOff():
-		reply(n.later("cut off from the state service, which others reach"))
+	case n.isCutOff():
+		reply(n.retryLater("cut off from the state service, which others reach"))
 		return
 	}
 	reply(Response{Status: 200, Body: struct{}{}})
 }
 
-// status describes a job as the mirror shows it.
+// status returns the status of a job as the mirror shows it.
 func (n *Node) status(id core.JobID, e *state.JobEntry) api.JobStatus {
 	s := api.JobStatus{ID: string(id)}
 	switch {
@@ -66,7 +68,7 @@
 		s.Phase = api.PhaseCancelled
 	default:
 		s.Phase, s.Done = api.PhaseQueued, min(e.Done.Len(), e.Tasks-1)
-		s.Running = n.running(id)
+		s.Running = n.runningCount(id)
 		if s.Running > 0 {
 			s.Phase = api.PhaseRunning
 		}
@@ -74,61 +76,62 @@
 	return s
 }
 
-// GetJob answers a poll. What is over stays as it is; anything else is answered
-// only once the mirror is proven to be up to date.
+// GetJob handles a status query. The status of a finished job is final; any other is
+// returned only once the mirror is confirmed to be up to date.
 func (n *Node) GetJob(id core.JobID, reply Reply) {
 	if e := n.mirror.Jobs[id]; e != nil && e.Finished() {
-		reply(n.known(id, e))
+		reply(n.jobResponse(id, e))
 		return
 	}
 	if !api.ValidJobID(string(id)) {
-		reply(refuse(404, "no such job", ""))
+		reply(errorResponse(404, "no such job", ""))
 		return
 	}
-	n.fresh(reply, func() {
+	n.whenFresh(reply, func() {
 		if e := n.mirror.Jobs[id]; e != nil {
-			reply(n.known(id, e))
+			reply(n.jobResponse(id, e))
 			return
 		}
-		reply(refuse(404, "no such job", ""))
+		reply(errorResponse(404, "no such job", ""))
 	})
 }
 
-// fresh goes on once the mirror is proven up to date, or refuses.
-func (n *Node) fresh(reply Reply, then func()) {
+// whenFresh calls then once the mirror is confirmed to be up to date, or replies with an
+// error.
+func (n *Node) whenFresh(reply Reply, then func()) {
 	if !n.mirror.Complete() {
-		reply(n.later("starting"))
+		reply(n.retryLater("starting"))
 		return
 	}
 	n.mirror.ConfirmFresh(func(ok bool) {
 		if !ok {
-			reply(n.later("the state service does not answer"))
+			reply(n.retryLater("the state service does not answer"))
 			return
 		}
 		then()
 	})
 }
 
-// Cancel cancels a job.
+// Cancel handles the cancellation of a job.
 func (n *Node) Cancel(id core.JobID, reply Reply) { n.cancel(id, reply, 0) }
 
 func (n *Node) cancel(id core.JobID, reply Reply, tries int) {
 	if !api.ValidJobID(string(id)) {
-		reply(refuse(404, "no such job", ""))
+		reply(errorResponse(404, "no such job", ""))
 		return
 	}
 	if tries >= 6 {
-		reply(n.later("the job keeps changing"))
+		reply(n.retryLater("the job keeps changing"))
 		return
 	}
-	n.fresh(reply, func() {
+	n.whenFresh(reply, func() {
 		e := n.mirror.Jobs[id]
 		switch {
 		case e == nil:
-			reply(refuse(404, "no such job", ""))
+			reply(errorResponse(404, "no such job", ""))
 			return
 		case e.Finished():
-			reply(n.known(id, e))
+			reply(n.jobResponse(id, e))
 			return
 		}
 		t := api.Txn{
@@ -141,7 +144,7 @@
 				n.announceCancellation(id)
 				reply(Response{Status: 200, Body: api.JobStatus{ID: string(id), Phase: api.PhaseCancelled}})
 			case state.Refused, state.LeaseExpired:
-				reply(n.later("the state service does not take changes"))
+				reply(n.retryLater("the state service does not take changes"))
 			default:
 				n.cancel(id, reply, tries+1)
 			}
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -8,15 +8,15 @@
 	"lichenstair/internal/state"
 )
 
-// HandleReport answers a worker's report.
+// HandleReport handles a worker's report.
 func (n *Node) HandleReport(body []byte, reply Reply) {
 	var rep api.Report
 	if api.Decode(body, &rep) != nil || rep.Machine == "" || rep.Session == 0 || rep.Addr == "" || rep.Type == "" {
-		reply(refuse(400, "not a report", ""))
+		reply(errorResponse(400, "not a report", ""))
 		return
 	}
 	if !n.mirror.Complete() {
-		reply(n.later("starting"))
+		reply(n.retryLater("starting"))
 		return
 	}
 	id := core.MachineID(rep.Machine)
@@ -25,17 +25,17 @@
 		if n.leader != nil {
 			n.leader.NoteUnassigned(&rep)
 		}
-		n.park(&rep, reply)
+		n.deferReport(&rep, reply)
 		return
 	}
 	h := n.holders[num]
 	if h == nil {
-		if n.looksIsolated(num) || n.doubtful(num) {
+		if n.looksIsolated(num) || n.holderSuspected(num) {
 			n.noteMisrouted(&rep, num)
-			// Sent back there, the worker would lose another few seconds of its
-			// lease; the block may be ours in a moment. Some come just before
-			// their holder looks isolated.
-			n.park(&rep, reply)
+			// If redirected there, the worker would lose another few seconds of its lease,
+			// and the block may be ours in a moment. Some reports arrive just before their
+			// holder looks isolated.
+			n.deferReport(&rep, reply)
 			return
 		}
 		n.redirect(id, reply)
@@ -46,51 +46,54 @@
 			reply(Response{Status: 200, Body: a})
 			return
 		}
-		n.park(&rep, reply)
+		n.deferReport(&rep, reply)
 	})
 }
 
-// parked is a report from a machine that belongs to no block at the moment.
-type parked struct {
-	rep   *api.Report
-	since core.Time
-	due   core.Time
-	doubt core.Time // until when a holder that is only doubtful is waited for
-	reply Reply
+// deferredReport is a report from a machine that has no block at the moment, or whose
+// holder may be about to be replaced.
+type deferredReport struct {
+	rep             *api.Report
+	since           core.Time
+	deadline        core.Time
+	suspectDeadline core.Time // until when to wait if the holder is only suspected to be gone
+	reply           Reply
 }
 
 const (
-	maxParked = 1000
-	doubtTime = 1500 * time.Millisecond
+	maxDeferred = 1000
+	suspectWait = 1500 * time.Millisecond
 )
 
-// park keeps the answer to a report back until the machine's block is known.
-func (n *Node) park(rep *api.Report, reply Reply) {
-	if len(n.parked) >= maxParked {
+// deferReport delays the response to a report until the holder of the machine's block is
+// known.
+func (n *Node) deferReport(rep *api.Report, reply Reply) {
+	if len(n.deferred) >= maxDeferred {
 		n.redirect(core.MachineID(rep.Machine), reply)
 		return
 	}
 	now := n.loop.Now()
-	n.parked = append(n.parked, parked{rep, now, now.Add(n.cfg.Workers.MaxReportHold()), now.Add(doubtTime), reply})
-	n.log.Debug("report waits for its machine's holder", "machine", rep.Machine, "season", rep.Session, "tally", rep.Sequence)
-	n.loop.After(doubtTime, n.unpark)
-	n.loop.After(n.cfg.Workers.MaxReportHold(), n.unpark)
-	n.unpark()
+	n.deferred = append(n.deferred, deferredReport{rep, now, now.Add(n.cfg.Workers.MaxReportHold()), now.Add(suspectWait), reply})
+	n.log.Debug("report deferred until the holder of its machine is known", "machine", rep.Machine, "session", rep.Session, "sequence", rep.Sequence)
+	n.loop.After(suspectWait, n.retryDeferred)
+	n.loop.After(n.cfg.Workers.MaxReportHold(), n.retryDeferred)
+	n.retryDeferred()
 }
 
-// unpark sends parked machines to their holders.
-func (n *Node) unpark() {
+// retryDeferred passes deferred reports to the holders of this node and redirects those
+// that need not or cannot wait any longer.
+func (n *Node) retryDeferred() {
 	now := n.loop.Now()
-	waiting := n.parked
-	n.parked = nil
+	waiting := n.deferred
+	n.deferred = nil
 	for _, p := range waiting {
 		id := core.MachineID(p.rep.Machine)
 		num, ok := n.mirror.MachineBlock(id)
 		switch {
-		case !ok && now < p.due && (n.leader != nil || n.mirror.Inventory(state.PoolInventory).VersionOf(id) != 0):
-			n.parked = append(n.parked, p)
+		case !ok && now < p.deadline && (n.leader != nil || n.mirror.Inventory(state.PoolInventory).VersionOf(id) != 0):
+			n.deferred = append(n.deferred, p)
 		case ok && n.holders[num] != nil:
-			n.log.Debug("report is handed to its machine's holder", "machine", id, "block", num, "season", p.rep.Session, "tally", p.rep.Sequence, "waited", now.Sub(p.since).String())
+			n.log.Debug("deferred report passed to the holder of its machine", "machine", id, "block", num, "session", p.rep.Session, "sequence", p.rep.Sequence, "waited", now.Sub(p.since).String())
 			n.holders[num].HandleReport(p.rep, func(a api.ReportResponse, ok bool) {
 				if ok {
 					p.reply(Response{Status: 200, Body: a})
@@ -98,16 +101,16 @@
 				}
 				n.redirect(id, p.reply)
 			})
-		case ok && now < p.due && n.looksIsolated(num), ok && now < p.doubt && n.doubtful(num):
-			n.parked = append(n.parked, p)
+		case ok && now < p.deadline && n.looksIsolated(num), ok && now < p.suspectDeadline && n.holderSuspected(num):
+			n.deferred = append(n.deferred, p)
 		default:
 			n.redirect(id, p.reply)
 		}
 	}
 }
 
-// redirect tells a worker where its machine belongs: to the holder of its
-// block, or to the leader if it has none.
+// redirect tells a worker where to report: to the holder of its machine's block, or to the
+// leader if the machine has no block.
 func (n *Node) redirect(id core.MachineID, reply Reply) {
 	to := core.Host("")
 	if num, ok := n.mirror.MachineBlock(id); ok {
