--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -159,7 +159,7 @@
 			}
 			d.until = now.Add(d.duration)
 			l.isolations[b.LeaseID] = d
-			l.logWhenApplied("moving block from a holder that does not receive reports from its machines", "block", n, "holder", b.Holder, "heard_by", host)
+			l.logWhenApplied("block moved from a holder that does not receive reports from its machines", "block", n, "holder", b.Holder, "heard_by", host)
 			return []*state.Block{withHolder(b, m)}
 		}
 	}
