--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -18,10 +18,10 @@
 
 // Request is an HTTP request to another service or to a worker.
 type Request struct {
-	Addr    string
+	Addr    string // host:port
 	Method  string
-	Path    string
-	Body    []byte
+	Path    string // including the query
+	Body    []byte // nil: none
 	Timeout time.Duration
 }
 
@@ -55,13 +55,13 @@
 // been called.
 func NewEventLoop(conns int) *EventLoop {
 	return &EventLoop{
-		start: time.Now(), reports: make(chan func(), conns), internal: make(chan func(), conns), users: make(chan func(), maxQueuedUsers), quit: make(chan struct{}),
+		start: time.Now(), reports: make(chan func(), conns), internal: make(chan func(), conns), users: make(chan func(), maxQueuedUserRequests), quit: make(chan struct{}),
 	}
 }
 
-// maxQueuedUsers bounds the queued user requests; the rest are refused, and users are asked
-// to retry.
-const maxQueuedUsers = 512
+// maxQueuedUserRequests bounds the queued user requests; the rest are refused, and users are
+// asked to retry.
+const maxQueuedUserRequests = 512
 
 // Now returns the time since the loop was created, by the monotonic clock.
 func (l *EventLoop) Now() Time { return Time(time.Since(l.start)) }
@@ -97,7 +97,8 @@
 	}
 }
 
-// Run executes queued functions until Stop is called.
+// Run executes queued functions until Stop is called. EventLoop describes the order in which
+// the queues are served.
 func (l *EventLoop) Run() {
 	for turn := 0; ; turn++ {
 		first, second := l.reports, l.internal
--- a/internal/core/set.go
+++ b/internal/core/set.go
@@ -10,7 +10,7 @@
 // overlap. Its JSON form is a flat list of bounds: first, last, first, last.
 type IndexSet struct{ ranges []indexRange }
 
-type indexRange struct{ lo, hi int }
+type indexRange struct{ lo, hi int } // both included
 
 // Add adds n to the set.
 func (s *IndexSet) Add(n int) { s.AddRange(n, n) }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -14,11 +14,13 @@
 	// Term is the number of one grant, of the leadership or of a block. It increases and is
 	// never reused.
 	Term uint64
-	// Session numbers the sessions of a worker.
+	// Session numbers the sessions of a worker. A worker whose lease has expired ends its
+	// tasks and starts a session with a higher number.
 	Session uint64
 	// Sequence orders the messages within one session of a worker.
 	Sequence uint64
-	// Attempt distinguishes the starts of a task.
+	// Attempt numbers the starts of a task; a later start has a higher number. The members of
+	// a gang that are started together share one.
 	Attempt uint64
 	// Revision counts the changes of the state service.
 	Revision uint64
@@ -72,7 +74,8 @@
 	return TaskID{JobID(job), n}, nil
 }
 
-// Newer returns whether message t of session s is newer than message t2 of session s2.
+// Newer returns whether message t of session s of a worker is newer than its message t2 of
+// session s2. Any message of a later session is newer.
 func Newer(s Session, t Sequence, s2 Session, t2 Sequence) bool {
 	return s > s2 || s == s2 && t > t2
 }
--- a/internal/leader/blocks.go
+++ b/internal/leader/blocks.go
@@ -22,17 +22,18 @@
 	numbers := drafts.numbers()
 	drafts.placeTeams(numbers, teams)
 	for _, n := range numbers {
-		drafts.writeLimits(n, teams)
+		drafts.draftLimits(n, teams)
 	}
 	for _, n := range numbers {
 		if block := drafts.changed[n]; block != nil {
-			l.setBlock(t, block)
+			l.putBlock(t, block)
 		}
 	}
 }
 
-// createBlocks drafts the first blocks, distributed over the live controllers. It returns
-// false if there are none.
+// createBlocks drafts the first blocks and distributes them over the live controllers. There
+// are as many as configured, but at most one per team and as many as fit into a transaction.
+// It returns false if there are no live controllers.
 func (l *Leader) createBlocks(t *api.Txn, drafts *blockDrafts) bool {
 	live := l.liveMembers()
 	if len(live) == 0 {
@@ -50,7 +51,7 @@
 // blockDrafts holds the records of blocks that are to be written.
 type blockDrafts struct {
 	mirror  *state.Mirror
-	changed map[int]*state.Block
+	changed map[int]*state.Block // by block number
 }
 
 // numbers returns the numbers of all blocks, including new ones.
@@ -110,8 +111,8 @@
 	}
 }
 
-// writeLimits drafts the resource limits of the teams of a block where they have changed.
-func (d *blockDrafts) writeLimits(n int, teams []config.Team) {
+// draftLimits drafts the resource limits of the teams of a block where they have changed.
+func (d *blockDrafts) draftLimits(n int, teams []config.Team) {
 	for _, team := range teams {
 		limit := state.Limit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
 		block := d.record(n)
--- a/internal/leader/cloud.go
+++ b/internal/leader/cloud.go
@@ -12,9 +12,9 @@
 	"lichenstair/internal/state"
 )
 
-// returnMarked returns the machines whose return is recorded durably: those of the pool
-// that are marked for it, and those that a holder has given up.
-func (l *Leader) returnMarked() {
+// queueMarkedReturns queues the machines whose return to the cloud is recorded durably: those
+// of the pool that are marked for it, and those that a holder has given up.
+func (l *Leader) queueMarkedReturns() {
 	pool := l.Mirror.Inventory(state.PoolInventory)
 	for m := range pool.All() {
 		if m.PoolState == state.PoolReturning {
@@ -30,7 +30,8 @@
 	}
 }
 
-// queueReturn queues a machine for the next request that returns machines to the cloud.
+// queueReturn queues a machine for the next request that returns machines to the cloud. If
+// the queue is full, the machine is skipped; it is queued with a later plan.
 func (l *Leader) queueReturn(id core.MachineID) {
 	if l.returnPending[id] || l.returned[id] || len(l.returnQueue) >= maxReturns {
 		return
@@ -43,8 +44,9 @@
 	}
 }
 
-// sendReturns returns the queued machines in one request. Machines that are queued while it
-// is in flight go with the next request, so that none waits forever.
+// sendReturns returns the queued machines to the cloud in one request. Machines that are
+// queued while it is in flight go with the next request, so that none waits forever. After a
+// failure, machines are queued again with the next plan.
 func (l *Leader) sendReturns() {
 	ids := l.returnQueue
 	l.returnQueue = nil
@@ -69,8 +71,9 @@
 	})
 }
 
-// requestRentals requests the rentals of a plan. No more are requested until these have been
-// answered.
+// requestRentals requests the rentals of a plan, in at most three requests for at most 50
+// machines each. No more are requested until these have been answered and the mirror shows
+// the rented machines.
 func (l *Leader) requestRentals(planned []capacity.Rental) {
 	// Renting is the only request to the cloud that requires us to be the leader at this
 	// moment: a return is recorded before it is requested. After a pause of this process
@@ -105,19 +108,22 @@
 	return out
 }
 
+// sendRental sends a rental request and keeps the rented machines to be recorded. As long as
+// the outcome is unknown, the request is repeated, up to three times; tries counts the
+// repetitions so far.
 func (l *Leader) sendRental(req api.Rental, r capacity.Rental, tries int) {
 	if tries == 0 {
 		l.rentalsInFlight++
 	}
 	l.Cloud.Rent(req, func(ids []string, outcome cloud.RentOutcome) {
 		if outcome == cloud.Unknown && tries < 3 && !l.stopped {
-			l.sendRental(req, r, tries+1) // the cloud repeats its response to a repeated request ID
+			l.sendRental(req, r, tries+1) // rents nothing twice: the cloud repeats its response to a repeated request ID
 			return
 		}
 		l.rentalsInFlight--
 		l.Log.Info("rental response received", "request", req.RequestID, "type", req.Type, "zone", req.Zone, "spot", req.Spot, "wanted", req.Count, "got", len(ids), "outcome", int(outcome))
 		if outcome != cloud.Rented || len(ids) < req.Count {
-			l.unavailableUntil[r.Offer] = l.Loop.Now().Add(unavailableTime)
+			l.unavailableUntil[r.Offer] = l.Loop.Now().Add(offerUnavailableTime)
 		}
 		for _, id := range ids {
 			l.rented = append(l.rented, state.Machine{ID: core.MachineID(id), Type: req.Type, Zone: req.Zone, Spot: req.Spot, Since: l.Loop.WallNow()})
--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -40,7 +40,7 @@
 	for i, b := range moves {
 		l.logWhenApplied("block granted", "block", b.Number, "from", l.Mirror.Blocks[b.Number].Record.Holder, "to", b.Holder, "term", first+core.Term(i))
 		b.Term = first + core.Term(i)
-		l.setBlock(t, b)
+		l.putBlock(t, b)
 	}
 }
 
@@ -58,12 +58,13 @@
 	}
 }
 
-// holderLoads counts the blocks of each controller that may be granted one.
+// holderLoads counts the blocks of each live holder.
 type holderLoads struct {
-	candidates []state.Member
-	blocks     map[core.Host]int
+	candidates []state.Member    // the controllers that may be granted blocks
+	blocks     map[core.Host]int // also of holders that are not candidates
 }
 
+// loads counts the blocks whose holders still have the lease of their grant.
 func (l *Leader) loads(candidates []state.Member) *holderLoads {
 	loads := &holderLoads{candidates, map[core.Host]int{}}
 	for _, b := range l.Mirror.Blocks {
@@ -93,7 +94,7 @@
 }
 
 // moveOrphaned moves the blocks whose holders no longer have the lease of the grant, as
-// many as fit into one transaction.
+// many as fit into one transaction beside the term counter.
 func (l *Leader) moveOrphaned(numbers []int, loads *holderLoads) (moves []*state.Block) {
 	for _, n := range numbers {
 		b := l.Mirror.Blocks[n].Record
@@ -108,7 +109,7 @@
 }
 
 // moveForBalance moves one block to a controller that holds at least two fewer than the
-// block's holder.
+// block's holder and has been a member for longer than rebalanceDelay.
 func (l *Leader) moveForBalance(numbers []int, loads *holderLoads, now core.Time) []*state.Block {
 	to := loads.leastLoaded()
 	if now.Sub(l.memberSince[to.Host]) <= rebalanceDelay {
@@ -126,10 +127,10 @@
 }
 
 // isolation is how long a controller counts as isolated from its machines. It is recorded
-// per lease, so that a restarted controller starts with a clean record.
+// per lease, so that a restarted controller does not count as isolated.
 type isolation struct {
 	until    core.Time
-	duration time.Duration
+	duration time.Duration // of the latest isolation; it doubles with the next one, within the bounds below
 }
 
 // A controller that did not receive reports is not granted blocks again soon: if it still
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -34,7 +34,8 @@
 	// HolderReady returns whether a block's holder has discovered its machines and places
 	// tasks.
 	HolderReady func(block int) bool
-	// FailingJobs returns the jobs whose attempts have all failed so far.
+	// FailingJobs returns the jobs that have failed on more than one machine and completed
+	// no task.
 	FailingJobs func() map[core.JobID]bool
 	// RunningTasks counts the running tasks by job.
 	RunningTasks func() map[core.JobID]int
@@ -47,32 +48,32 @@
 // Leader acts as the leader for one term.
 type Leader struct {
 	Env
-	record           state.Versioned[*state.Leader]
+	record           state.Versioned[*state.Leader] // of the leader key
 	stopped          bool
-	committing       bool
-	rentalSeq        int
-	retryAt          core.Time
-	types            []api.MachineType
-	listing          bool
-	nextList         core.Time
-	nextTypes        core.Time
-	listed           map[core.MachineID]api.ListedMachine
-	unavailableUntil map[capacity.Offer]core.Time
-	freeSince        map[core.MachineID]core.Time
-	prober           *worker.Prober          // of machines that no record and no list contains
-	returnPending    map[core.MachineID]bool // return queued or requested, not yet confirmed
-	returnQueue      []string                // return queued, not yet requested
+	committing       bool                                 // a transaction is in flight, or the mirror does not show it yet
+	rentalSeq        int                                  // number of the last rental request of this term
+	retryAt          core.Time                            // no transaction is sent before
+	types            []api.MachineType                    // last response of the cloud, nil before the first
+	listing          bool                                 // a request for the list of machines is in flight
+	nextList         core.Time                            // when the list is requested again
+	nextTypes        core.Time                            // when the types are requested again
+	listed           map[core.MachineID]api.ListedMachine // last list, and machines found by probes since
+	unavailableUntil map[capacity.Offer]core.Time         // no machines are rented of the offer until then
+	freeSince        map[core.MachineID]core.Time         // since when a machine of the pool has been free
+	prober           *worker.Prober                       // probes reporting machines that are in no block and not listed
+	returnPending    map[core.MachineID]bool              // return queued or requested, not yet confirmed
+	returnQueue      []string                             // return queued, not yet requested
 	// returnScheduled: a request to return machines is in flight or scheduled.
 	returnScheduled    bool
 	returned           map[core.MachineID]bool // return confirmed, not yet recorded
 	rented             []state.Machine         // rented, not yet recorded
 	rentalsInFlight    int                     // number of rental requests in flight
-	memberSince        map[core.Host]core.Time
-	logLines           []logLine // log lines of the transaction being composed
+	memberSince        map[core.Host]core.Time // since when this leader has seen a controller's member key
+	logLines           []logLine               // log lines of the transaction being composed
 	isolations         map[core.LeaseID]isolation
 	demandTrend        capacity.DemandTrend
 	bootTimes          capacity.BootTimes
-	booting            map[core.MachineID]bool // not known to have booted
+	booting            map[core.MachineID]bool // not known to have booted, at the last plan
 	lastPlan           core.Time               // time of the last plan
 	planScheduled      bool                    // the next plan is scheduled
 	lastIsolationCheck core.Time               // when the holders were last checked for isolation
@@ -102,6 +103,7 @@
 }
 
 const (
+	// typesInterval is the time between two requests for the machine types.
 	typesInterval = 60 * time.Second
 	// minPlanInterval is the minimum time between two plans: every change of a record asks
 	// for one, and with hundreds of machines and jobs each takes milliseconds.
@@ -109,10 +111,14 @@
 	// isolationCheckInterval is the minimum time between two checks whether the holders
 	// receive the reports of their machines.
 	isolationCheckInterval = 200 * time.Millisecond
-	unavailableTime        = 15 * time.Second
-	rebalanceDelay         = 1500 * time.Millisecond
-	maxReturns             = 100 // in one request, limited by the protocol
-	maxProbes              = 50
+	// offerUnavailableTime is how long no more machines of an offer are rented after a rental
+	// of it did not bring all the machines requested.
+	offerUnavailableTime = 15 * time.Second
+	// rebalanceDelay is how long a controller must have been a member before a block is
+	// moved to it for balance.
+	rebalanceDelay = 1500 * time.Millisecond
+	maxReturns     = 100 // in one request, limited by the protocol
+	maxProbes      = 50  // in flight
 )
 
 // Tick queries the cloud and writes changes, as far as they are due.
@@ -210,6 +216,7 @@
 	l.logLines = append(l.logLines, logLine{text, args})
 }
 
+// logLine is a log line that has not been written yet.
 type logLine struct {
 	text string
 	args []any
@@ -224,7 +231,8 @@
 	return c.Record.Last + 1
 }
 
-func (l *Leader) setBlock(t *api.Txn, b *state.Block) {
+// putBlock adds the write of a block's record to a transaction.
+func (l *Leader) putBlock(t *api.Txn, b *state.Block) {
 	key := state.KeyBlock(b.Number)
 	t.If = append(t.If, api.Condition{Key: key, Version: uint64(l.Mirror.Blocks[b.Number].Version)})
 	t.Then = append(t.Then, state.Put(key, b))
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -30,7 +30,7 @@
 		l.requireGrant(t, n)
 	}
 	edit.Apply(t)
-	l.returnMarked()
+	l.queueMarkedReturns()
 	l.requestRentals(plan.Rent)
 }
 
@@ -51,8 +51,8 @@
 }
 
 // assign moves machines of the pool to blocks. Each block receives its new machines under a
-// fresh term, higher than any that they have seen: so they accept its commands, and report
-// at once when they see it.
+// new term. It is higher than any that the machines have seen, so they accept its commands
+// and report at once when they see it.
 func (l *Leader) assign(t *api.Txn, edit *state.Edit, blocks map[core.MachineID]int, changed map[int]bool) {
 	terms := map[int]core.Term{}
 	for _, n := range blocks {
@@ -130,6 +130,7 @@
 			edit.Add(state.PoolInventory, m)
 		}
 	}
+	// How long the cloud's list may still contain a machine after its return, in ms.
 	listRetention := core.WallTime(3*l.Config.CloudLimits.ListLag.Milliseconds() + 20000)
 	for m := range l.Mirror.Inventory(state.PoolInventory).All() {
 		if _, held := l.Mirror.MachineBlock(m.ID); m.PoolState == state.PoolGone && !held && wall-m.Since > listRetention {
@@ -187,7 +188,8 @@
 	return false
 }
 
-// NoteUnassigned handles a report from a machine that belongs to no block.
+// NoteUnassigned handles a report from a machine that belongs to no block. A machine that is
+// not listed is added to the list once it has answered a probe.
 func (l *Leader) NoteUnassigned(rep *api.Report) {
 	id := core.MachineID(rep.Machine)
 	if _, known := l.listed[id]; known || l.stopped {
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -113,6 +113,7 @@
 	return out
 }
 
+// describe describes a machine for the capacity package.
 func (l *Leader) describe(m *state.Machine, block int, overdue map[core.MachineID]bool) *capacity.Machine {
 	return &capacity.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Block: block, Ready: l.hasBooted(m), BootOverdue: overdue[m.ID]}
 }
@@ -140,8 +141,8 @@
 	return jobs
 }
 
-// markGuaranteed marks the jobs that fit into their teams' guarantees: first those that may
-// run, then those that are expected to soon.
+// markGuaranteed marks the jobs that fit into their teams' guarantees, which also makes them
+// time-sensitive: first those that may run, then those that are expected to soon.
 func (l *Leader) markGuaranteed(jobs []*capacity.Job) {
 	guarantees := capacity.NewGuarantees(l.Config.Teams)
 	for _, expected := range []bool{false, true} {
@@ -184,7 +185,7 @@
 }
 
 // trackBoots returns the machines that have not booted yet, and records the boot times of
-// those that have.
+// those that have booted since the last plan.
 func (l *Leader) trackBoots(edit *state.Edit, now core.Time, wall core.WallTime, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.PendingMachine {
 	waiting := map[core.MachineID]capacity.PendingMachine{}
 	track := func(m *state.Machine) {
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -12,8 +12,8 @@
 // node.
 type misroutedReport struct {
 	block      int
-	term       core.Term
-	receivedAt core.Time
+	term       core.Term // of the block's grant when the report arrived
+	receivedAt core.Time // when the machine answered the probe
 }
 
 // observedGrant records when this node learned of the grant of a block.
@@ -29,7 +29,7 @@
 	// misroutedTTL is how long a misrouted report counts. A worker that cannot reach its
 	// holder reports to this node about that often.
 	misroutedTTL = 8 * time.Second
-	maxProbes    = 100
+	maxProbes    = 100 // in flight
 )
 
 // noteMisrouted records a report that belongs to another holder, once the machine has
@@ -91,7 +91,9 @@
 }
 
 // looksIsolated returns whether a block's holder appears not to receive reports from most
-// of the block's machines, though it may otherwise be healthy.
+// of the block's machines, though it may otherwise be healthy. A holder without a recent
+// summary counts as isolated if its block has machines. A grant that this node has observed
+// for less than discoveryTime does not count.
 func (n *Node) looksIsolated(num int) bool {
 	b, ok := n.mirror.Blocks[num]
 	if !ok {
@@ -120,7 +122,8 @@
 }
 
 // replacementHolder returns the controller that should replace a block's holder: one to
-// which at least half of the machines report that the holder does not hear from.
+// which at least half of the machines report that the holder does not hear from, or any
+// machine if there is no recent summary from the holder.
 func (n *Node) replacementHolder(num int) (core.Host, bool) {
 	b, ok := n.mirror.Blocks[num]
 	if !ok || !n.looksIsolated(num) {
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -30,8 +30,9 @@
 	}
 }
 
-// maintainLease obtains and renews the node's lease. A lease left over from before a
-// restart is revoked at once, so that its blocks need not wait until it expires.
+// maintainLease obtains the node's lease, and renews it after a quarter of its TTL. A lease
+// left over from before a restart is revoked at once, so that its blocks need not wait until
+// it expires.
 func (n *Node) maintainLease() {
 	if !n.mirror.Complete() {
 		return
@@ -98,7 +99,7 @@
 	return n.mirror.HasReached(n.registeredAt) && n.mirror.Members[n.cfg.Host].Record.LeaseID != n.leaseID
 }
 
-// writeMemberKey writes the member key under the new lease.
+// writeMemberKey writes the member key under the new lease. It calls retry if that fails.
 func (n *Node) writeMemberKey(retry func()) {
 	leaseID := n.leaseID
 	put := state.Put(state.KeyMember(n.cfg.Host), state.Member{Host: n.cfg.Host, LeaseID: leaseID})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,28 +34,28 @@
 	metrics *metrics.Metrics
 
 	membership   membership
-	leaseID      core.LeaseID
-	renewedAt    core.Time
-	registeredAt core.Revision // revision of our member key
-	renewing     bool
-	lastTick     core.Time // when tick last ran
-	electing     bool
-	leader       *leader.Leader
-	holders      map[int]*block.Holder
-
-	submissions []*submission
-	committing  bool
+	leaseID      core.LeaseID          // 0: none
+	renewedAt    core.Time             // when the lease was granted, or its last successful renewal was sent
+	registeredAt core.Revision         // revision of our member key
+	renewing     bool                  // a renewal is in flight
+	lastTick     core.Time             // when tick last ran
+	electing     bool                  // an attempt to become the leader is scheduled or in flight
+	leader       *leader.Leader        // nil: this node is not the leader
+	holders      map[int]*block.Holder // of the blocks granted to this node, by block number
+
+	submissions []*submission // not yet sent to the state service
+	committing  bool          // a transaction with submissions is in flight
 	// Policy selects how tasks are placed. It must be set before Start.
 	Policy placement.Policy
 
 	deferred       []deferredReport
 	misrouted      map[core.MachineID]misroutedReport
-	prober         *worker.Prober // checks whether the machines of misrouted reports can be reached from here
-	observedGrants map[int]observedGrant
+	prober         *worker.Prober          // checks whether the machines of misrouted reports can be reached from here
+	observedGrants map[int]observedGrant   // by block number
 	cancellations  []confirmedCancellation // recently written by this node
-	gangShapes     capacity.GangShapes
+	gangShapes     capacity.GangShapes     // of the jobs that became ready recently
 	peers          map[core.Host]peerHeartbeat
-	broadcast      func([]byte)
+	broadcast      func([]byte) // sends a frame to the other controllers
 }
 
 const (
@@ -92,7 +92,9 @@
 	n.loop.After(freshnessInterval, n.confirmFreshness)
 }
 
-// leaseValid returns whether our lease has certainly not expired.
+// leaseValid returns whether our lease has certainly not expired, at least from its first
+// renewal on: until then its time counts from the response to the grant, which is later than
+// the grant itself.
 func (n *Node) leaseValid() bool {
 	return n.membership == member && n.loop.Now().Sub(n.renewedAt) < n.cfg.Operator.LeaseTTL
 }
@@ -101,6 +103,7 @@
 // paused, rather than its timer to be late.
 const pauseThreshold = time.Second
 
+// tick does the periodic work of the node.
 func (n *Node) tick() {
 	n.loop.After(tickInterval, n.tick)
 	now := n.loop.Now()
@@ -155,6 +158,7 @@
 	n.retryDeferred()
 }
 
+// isReady returns whether a job may run: all jobs that it depends on are done.
 func (n *Node) isReady(e *state.JobEntry) bool {
 	_, ok := n.mirror.ReadyAt(e)
 	return ok
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -11,9 +11,13 @@
 
 const (
 	heartbeatInterval = 500 * time.Millisecond
-	heartbeatTTL      = 2500 * time.Millisecond
-	maxStaleness      = 4 * time.Second
-	unknownStaleness  = time.Hour
+	// heartbeatTTL is how long a heartbeat of a peer counts as recent.
+	heartbeatTTL = 2500 * time.Millisecond
+	// maxStaleness is the staleness from which a node is taken not to reach the state
+	// service.
+	maxStaleness = 4 * time.Second
+	// unknownStaleness is the staleness of a mirror that has never been confirmed.
+	unknownStaleness = time.Hour
 )
 
 // peerHeartbeat is the latest heartbeat of a peer.
@@ -43,7 +47,7 @@
 func (n *Node) shareWriteRate() {
 	var peerRates []float64
 	for _, p := range n.cfg.Peers {
-		rate := -1.0
+		rate := -1.0 // unknown
 		if h, ok := n.peers[p.Host]; ok && n.loop.Now().Sub(h.receivedAt) < heartbeatTTL {
 			rate = float64(h.WriteRate) / 10
 		}
@@ -83,7 +87,7 @@
 }
 
 // isCutOff returns whether this node cannot reach the state service while another one can.
-// Users are better served there; if no node can reach it, none steps aside.
+// Users are better served there. If no node can reach it, none counts as cut off.
 func (n *Node) isCutOff() bool {
 	if n.staleness() < maxStaleness {
 		return false
--- a/internal/node/responses.go
+++ b/internal/node/responses.go
@@ -13,9 +13,9 @@
 	Status     int
 	Body       any
 	RetryAfter time.Duration
-	// ExpiresAt is when the response is too old to be sent, if what it reports may change
-	// (0: it may not). The process can be paused between creating and sending it, while
-	// another controller reports something newer to the user.
+	// ExpiresAt is when a response that reports a changeable status becomes too old to be
+	// sent; 0 for all others. The process can be paused between creating and sending it,
+	// while another controller reports something newer to the user.
 	ExpiresAt core.Time
 }
 
@@ -58,7 +58,8 @@
 	reply(Response{Status: 200, Body: struct{}{}})
 }
 
-// status returns the status of a job as the mirror shows it.
+// status returns the status of a job as the mirror shows it. Until the job's record says
+// that it is done, at least one task counts as not done.
 func (n *Node) status(id core.JobID, e *state.JobEntry) api.JobStatus {
 	s := api.JobStatus{ID: string(id)}
 	switch {
@@ -112,7 +113,8 @@
 	})
 }
 
-// Cancel handles the cancellation of a job.
+// Cancel handles the cancellation of a job. If the record changes in the meantime or the
+// outcome is unknown, it is tried again, up to six times in all.
 func (n *Node) Cancel(id core.JobID, reply Reply) { n.cancel(id, reply, 0) }
 
 func (n *Node) cancel(id core.JobID, reply Reply, tries int) {
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	submitTimeout  = 3 * time.Second
-	maxSubmissions = 200
-	maxBatchBytes  = 48 << 10
+	submitTimeout  = 3 * time.Second // until a submission is no longer retried
+	maxSubmissions = 200             // queued
+	maxBatchBytes  = 48 << 10        // of one transaction, estimated
 )
 
 // submission is a job that is to be written to the state service.
 type submission struct {
 	id       core.JobID
-	record   []byte
-	deadline core.Time
+	record   []byte    // as JSON
+	deadline core.Time // until when it is retried
 	// hasDependencies: the job has dependencies, and may have been cancelled with one of
 	// them before the submission is confirmed.
 	hasDependencies bool
@@ -166,7 +166,8 @@
 }
 
 // commitSubmissions writes the pending submissions, many per transaction, with one
-// transaction in flight at a time.
+// transaction in flight at a time. A repeated job ID waits for the next transaction,
+// which conflicts with the record of the first if that was written.
 func (n *Node) commitSubmissions() {
 	if n.committing || len(n.submissions) == 0 {
 		return
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -32,8 +32,8 @@
 	if h == nil {
 		if n.looksIsolated(num) || n.holderSuspected(num) {
 			n.noteMisrouted(&rep, num)
-			// If redirected there, the worker would lose another few seconds of its lease,
-			// and the block may be ours in a moment. Some reports arrive just before their
+			// If redirected to the holder, the worker would lose another few seconds of its
+			// lease, and the block may be ours in a moment. Some reports arrive just before their
 			// holder looks isolated.
 			n.deferReport(&rep, reply)
 			return
@@ -55,13 +55,15 @@
 type deferredReport struct {
 	rep             *api.Report
 	since           core.Time
-	deadline        core.Time
+	deadline        core.Time // until when to wait at most
 	suspectDeadline core.Time // until when to wait if the holder is only suspected to be gone
 	reply           Reply
 }
 
 const (
 	maxDeferred = 1000
+	// suspectWait is how long to wait for the replacement of a holder that is only suspected
+	// to be gone.
 	suspectWait = 1500 * time.Millisecond
 )
 
@@ -80,8 +82,9 @@
 	n.retryDeferred()
 }
 
-// retryDeferred passes deferred reports to the holders of this node and redirects those
-// that need not or cannot wait any longer.
+// retryDeferred passes deferred reports to the holders of this node. It redirects those whose
+// time is over, those whose machine has a holder elsewhere that is not suspected, and those of
+// machines that no record contains, unless this node is the leader.
 func (n *Node) retryDeferred() {
 	now := n.loop.Now()
 	waiting := n.deferred
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -29,36 +29,36 @@
 // Heartbeat is the status that a controller sends to the others, about twice a second.
 type Heartbeat struct {
 	Host    core.Host
-	LeaseID core.LeaseID
+	LeaseID core.LeaseID // 0: the sender has no lease
 	// Staleness is the time since the sender's copy of the state was last confirmed to be
 	// up to date.
 	Staleness time.Duration
 	// WriteRate is the sender's recent rate of changes at the state service, in tenths of a
 	// change per second.
 	WriteRate uint64
-	Blocks    []BlockHint
-	Running   []RunningHint
-	Misrouted []MisroutedHint
-	// Failing lists the jobs whose attempts have all failed so far and that are tried one
-	// task at a time.
+	Blocks    []BlockHint     // of the blocks that the sender holds
+	Running   []RunningHint   // of jobs in these blocks
+	Misrouted []MisroutedHint // of blocks that others hold
+	// Failing lists the jobs that have failed on more than one machine and completed no task,
+	// and are therefore tried one task at a time.
 	Failing []core.JobID
 }
 
 // BlockHint is a holder's summary of its block.
 type BlockHint struct {
-	Number         int
-	Term           core.Term
-	Placing        bool
-	WaitingTasks   int // tasks that wait to be placed
-	LiveMachines   int // machines that report to the holder
-	SilentMachines int // machines that have stopped reporting to it
-	IdleMachines   []core.MachineID
+	Number         int              // of the block
+	Term           core.Term        // of the holder's grant
+	Placing        bool             // the holder has discovered its machines and places tasks
+	WaitingTasks   int              // tasks that wait to be placed
+	LiveMachines   int              // machines that report to the holder
+	SilentMachines int              // machines that have stopped reporting to it
+	IdleMachines   []core.MachineID // live machines on which nothing is placed
 }
 
 // MisroutedHint counts the machines of another holder's block that have recently reported
 // to the sender.
 type MisroutedHint struct {
-	Number   int
+	Number   int // of the block
 	Machines int
 }
 
@@ -68,9 +68,10 @@
 	Tasks int
 }
 
+// Limits of the lists of a heartbeat.
 const (
-	maxBlocks  = 64
-	maxIdle    = 64
+	maxBlocks  = 64 // of blocks, and of misrouted hints
+	maxIdle    = 64 // of idle machines, per block
 	maxRunning = 200
 	maxFailing = 200
 	// maxCancellations bounds the jobs of a frame of cancellations.
@@ -216,8 +217,10 @@
 	return b, true, nil
 }
 
+// decoder reads the fields of a payload. After an error, failed is set and the values read
+// are meaningless.
 type decoder struct {
-	rest   []byte
+	rest   []byte // not yet decoded
 	failed bool
 }
 
@@ -241,6 +244,7 @@
 	return n
 }
 
+// count decodes the length of a list. A length above the limit is an error.
 func (d *decoder) count(limit int) int {
 	n := d.uvarint()
 	if n > uint64(limit) {
@@ -250,6 +254,7 @@
 	return int(n)
 }
 
+// shortString decodes a string with a length byte before it.
 func (d *decoder) shortString() string {
 	n := int(d.byte())
 	if n > len(d.rest) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -24,6 +24,8 @@
 	}
 }
 
+// A heartbeat is read from a stream, without the bytes that follow it, and decoded
+// unchanged. A heartbeat of a later version is ignored.
 func TestHeartbeatRoundTrip(t *testing.T) {
 	frame, err := ReadFrame(bytes.NewReader(append(EncodeHeartbeat(testHeartbeat()), 1, 2, 3)))
 	if err != nil {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -14,9 +14,9 @@
 // connection of its own.
 type Transport struct {
 	log          *slog.Logger
-	queues       []chan []byte
-	onFrame      func([]byte)
-	inboundSlots chan struct{}
+	queues       []chan []byte // one per peer, for one frame that has not been sent yet
+	onFrame      func([]byte)  // called with each received frame
+	inboundSlots chan struct{} // limits the connections from peers
 }
 
 const (
@@ -112,6 +112,8 @@
 	}
 }
 
+// receiveLoop receives frames until the connection fails or no frame arrives for
+// readTimeout.
 func (t *Transport) receiveLoop(conn net.Conn) {
 	defer conn.Close()
 	for {
