--- a/internal/block/answers.go
+++ b/internal/block/answers.go
@@ -8,11 +8,12 @@
 	"lichenstair/internal/core"
 )
 
-// HandleReport answers a worker's report, now or, if it has nothing to do, a little
-// later; done(_, false) means that the machine is not ours to answer.
+// HandleReport answers a worker's report. If there are no commands for the worker, the answer
+// is held back for up to answerDelay so that a start can still be sent with it. done(_, false)
+// means that this holder must not answer for the machine.
 func (h *Holder) HandleReport(rep *api.Report, done func(api.ReportResponse, bool)) {
 	m := h.machines[core.MachineID(rep.Machine)]
-	if m == nil || m.floor == ^core.Session(0) {
+	if m == nil || m.ignoredThrough == ^core.Session(0) {
 		done(api.ReportResponse{}, false)
 		return
 	}
@@ -22,114 +23,116 @@
 		done(api.ReportResponse{}, false)
 		return
 	}
-	h.flush(m)
+	h.answerHeldReport(m)
 	m.addr = rep.Addr
-	m.reported = now
-	fresh := h.take(m, rep, evidence{fromReport, now})
+	m.lastReport = now
+	fresh := h.applyMessage(m, rep, origin{fromReport, now})
 	if !m.fenced {
 		h.fence(m)
-		if m.unheard == 0 {
-			m.unheard = now
+		if m.termUnseenSince == 0 {
+			m.termUnseenSince = now
 		}
-		if now.Sub(m.unheard) > h.Config.Workers.Lease/2 {
-			// Whatever we answer, its reports do not show our term: nothing
-			// reaches it. An answer held to renew its lease would put off for
-			// ever the time at which that has surely run out, and the whole
-			// block would wait for it.
-			h.noteMessage(m, fromReport, messageUnheard, m.season, m.tally)
+		if now.Sub(m.termUnseenSince) > h.Config.Workers.Lease/2 {
+			// The machine's reports still do not carry our term after half a lease, so our
+			// answers do not reach it. Counting them as lease renewals would postpone the
+			// proven expiry of its lease indefinitely, and recovery of the whole block would
+			// wait for it.
+			h.noteMessage(m, fromReport, messageTermUnseen, m.session, m.sequence)
 			done(api.ReportResponse{}, false)
 			return
 		}
 	}
-	m.answer, m.answered = max(m.answer, now), now
+	m.lastRenewal, m.lastAnswer = max(m.lastRenewal, now), now
 	if !fresh {
-		done(api.ReportResponse{Term: uint64(h.termOf(m)), Commands: []api.Command{}}, true)
+		done(api.ReportResponse{Term: uint64(h.commandTerm(m)), Commands: []api.Command{}}, true)
 		return
 	}
-	h.passSoon()
-	if h.urgent(m) {
-		done(api.ReportResponse{Term: uint64(h.termOf(m)), Commands: h.orders(m)}, true)
+	h.schedulePass()
+	if h.hasUrgentCommands(m) {
+		done(api.ReportResponse{Term: uint64(h.commandTerm(m)), Commands: h.commands(m)}, true)
 		return
 	}
-	x := &held{done}
-	m.held = x
-	h.Loop.After(h.holdTime(m), func() {
-		if m.held == x {
-			h.flush(m)
+	held := &heldReport{done}
+	m.heldReport = held
+	h.Loop.After(h.answerDelay(m), func() {
+		if m.heldReport == held {
+			h.answerHeldReport(m)
 		}
 	})
-	if m.asked {
-		h.write()
+	if m.draining {
+		h.writeRecords()
 	}
 }
 
-// refusal tells why a report is neither taken in nor answered; empty: it is.
+// refusal returns the reason for which a report is neither processed nor answered, or an empty
+// result if it is accepted.
 func (h *Holder) refusal(m *machine, rep *api.Report, now core.Time) messageResult {
 	switch {
 	case !h.MayAnswerWorkers():
 		return messageNotEntitled
-	case core.Term(rep.Term) > h.termOf(m):
-		return messageOverruled
+	case core.Term(rep.Term) > h.commandTerm(m):
+		return messageHigherTerm
 	case h.lateCopy(m, rep, now):
 		return messageLateCopy
 	}
 	return ""
 }
 
-// holdTime is how long the answer to a worker may be kept back. Its lease counts
-// from the sending of the report, and it gives up after four seconds. One that
-// is busy may soon have something to tell, but not before its next report is
-// allowed: until then, what the next pass plans on it goes out at once instead
-// of with a report that may be seconds away.
-func (h *Holder) holdTime(m *machine) time.Duration {
-	if !m.empty() && !m.planned() {
-		return reportPause - 50*time.Millisecond
+// answerDelay returns how long the answer to a report may be held back. The worker's lease
+// counts from the sending of the report, and the worker drops the answer after four seconds. A
+// busy machine may not report again before minReportInterval has passed; holding its answer
+// until just before then lets the next pass send starts at once instead of with a report that
+// may be seconds away.
+func (h *Holder) answerDelay(m *machine) time.Duration {
+	if !m.empty() && !m.onlyPlanned() {
+		return minReportInterval - 50*time.Millisecond
 	}
 	return h.Config.Workers.MaxReportHold()
 }
 
-// flush answers a report that was kept back.
-func (h *Holder) flush(m *machine) {
-	x := m.held
-	if x == nil {
+// answerHeldReport answers the machine's held report, if it has one.
+func (h *Holder) answerHeldReport(m *machine) {
+	held := m.heldReport
+	if held == nil {
 		return
 	}
-	m.held = nil
+	m.heldReport = nil
 	if h.state == released || h.machines[m.id] != m || !h.MayAnswerWorkers() {
-		x.done(api.ReportResponse{}, false)
+		held.done(api.ReportResponse{}, false)
 		return
 	}
-	m.answered = h.Loop.Now()
-	x.done(api.ReportResponse{Term: uint64(h.termOf(m)), Commands: h.orders(m)}, true)
+	m.lastAnswer = h.Loop.Now()
+	held.done(api.ReportResponse{Term: uint64(h.commandTerm(m)), Commands: h.commands(m)}, true)
 }
 
-// flushReady answers the reports for which there is something to say by now, and
-// asks for those that are far away.
-func (h *Holder) flushReady() {
+// answerHeldReports answers the held reports of machines for which there are commands, and
+// prompts machines with planned starts whose next report is far away.
+func (h *Holder) answerHeldReports() {
 	for _, id := range core.SortedKeys(h.machines) {
 		m := h.machines[id]
-		if m.held == nil {
+		if m.heldReport == nil {
 			h.prompt(m)
-		} else if h.urgent(m) {
-			h.flush(m)
+		} else if h.hasUrgentCommands(m) {
+			h.answerHeldReport(m)
 		}
 	}
 }
 
-// urgent tells whether a machine should hear of something at once: a start, or
-// a task that has to stop.
-func (h *Holder) urgent(m *machine) bool {
+// hasUrgentCommands reports whether a machine should be answered at once: a start may be sent
+// to it, or one of its tasks has to stop and has not been told so.
+func (h *Holder) hasUrgentCommands(m *machine) bool {
 	for _, s := range m.slots {
-		if s.state == planned && h.ready(m) || s.state == present && s.stopped == 0 && h.stopReason(s) != "" {
+		if s.state == planned && h.acceptsStarts(m) || s.state == present && s.stopSentAt == 0 && h.stopReason(s) != "" {
 			return true
 		}
 	}
 	return false
 }
 
-// unwanted tells why a task on a machine should not be there: its job is over, or unknown
-// to us, or has no use for this attempt. Empty: it should.
-func (h *Holder) unwanted(s *slot) stopReason {
+// unwantedReason returns why a task should not be on a machine: its job is over, unknown or
+// not placed by this block, or has no use for this attempt. It is empty if the task should be
+// there.
+func (h *Holder) unwantedReason(s *slot) stopReason {
 	e, j := h.Mirror.Jobs[s.task.Job], h.jobs[s.task.Job]
 	switch {
 	case e == nil:
@@ -137,58 +140,60 @@
 	case e.Finished():
 		return stopJobOver
 	case j == nil:
-		return stopNotOurs
+		return stopOtherBlock
 	case j.cancelled:
 		return stopCancelled
 	}
-	return h.useless(j, s)
+	return h.redundancy(j, s)
 }
 
-// stopReason tells why an attempt on a machine has to stop; empty: it goes on.
-func (h *Holder) stopReason(s *slot) stopReason { return cmp.Or(h.unwanted(s), s.stop) }
+// stopReason returns why an attempt on a machine has to stop, or an empty reason if it may go
+// on.
+func (h *Holder) stopReason(s *slot) stopReason { return cmp.Or(h.unwantedReason(s), s.stopRequest) }
 
-// ready tells whether starts may be sent to a machine.
-func (h *Holder) ready(m *machine) bool {
-	return h.state == placing && m.up && m.fenced && !m.unreachable && m.state == live && !h.unsettled(m, m.lowering)
+// acceptsStarts reports whether starts may be sent to a machine.
+func (h *Holder) acceptsStarts(m *machine) bool {
+	return h.state == placing && m.inUse && m.fenced && !m.unreachable && m.state == live && !h.writePending(m, m.clearInUseVersion)
 }
 
-// orders composes the commands for a machine that has just reported.
-func (h *Holder) orders(m *machine) []api.Command {
+// commands returns the commands for a machine that has just reported, and updates the state of
+// the attempts concerned.
+func (h *Holder) commands(m *machine) []api.Command {
 	now := h.Loop.Now()
 	var kills, clears, runs []api.Command
-	for _, s := range m.list() {
-		order := api.Command{Task: s.task.String(), Attempt: uint64(s.attempt)}
+	for _, s := range m.orderedSlots() {
+		command := api.Command{Task: s.task.String(), Attempt: uint64(s.attempt)}
 		e := h.Mirror.Jobs[s.task.Job]
 		switch s.state {
 		case exited:
-			if s.cause != api.CauseDone || e == nil || e.Finished() || e.Done.Has(s.task.Index) {
-				order.Verb = api.VerbClear
-				clears = append(clears, order)
+			if s.exitCause != api.CauseDone || e == nil || e.Finished() || e.Done.Has(s.task.Index) {
+				command.Verb = api.VerbClear
+				clears = append(clears, command)
 			}
 		case present:
 			if reason := h.stopReason(s); reason != "" {
-				grace := s.grace
-				if h.unwanted(s) != "" {
+				grace := s.graceS
+				if h.unwantedReason(s) != "" {
 					grace = 0
 				}
 				if reason == stopSuperseded {
-					s.stop = reason // for good, also if the attempt that it gave way to ends
+					s.stopRequest = reason // permanent, even if the newer attempt ends
 				}
-				if s.stopped == 0 {
-					s.stopped = now
+				if s.stopSentAt == 0 {
+					s.stopSentAt = now
 					h.noteStop(s, reason)
 				}
-				order.Verb, order.GraceS = api.VerbKill, &grace
-				kills = append(kills, order)
+				command.Verb, command.GraceS = api.VerbKill, &grace
+				kills = append(kills, command)
 			}
 		case planned:
-			if h.ready(m) && len(runs) < maxOrders {
-				h.moveSlot(s, starting)
-				s.sentAt, s.sentSeason, s.sentTally = now, m.season, m.tally
+			if h.acceptsStarts(m) && len(runs) < maxStartsPerAnswer {
+				h.setSlotState(s, starting)
+				s.sentAt, s.sentSession, s.sentSequence = now, m.session, m.sequence
 				h.noteStart(s)
-				s.ends = now.Add(h.expected(s, m))
-				order.Verb = api.VerbRun
-				runs = append(runs, order)
+				s.expectedEnd = now.Add(h.expectedDuration(s, m))
+				command.Verb = api.VerbRun
+				runs = append(runs, command)
 			}
 		}
 	}
--- a/internal/block/attempts.go
+++ b/internal/block/attempts.go
@@ -4,22 +4,22 @@
 	"lichenstair/internal/core"
 )
 
-// book is the one place where an attempt comes into the picture of its machine and its job.
+// book adds an attempt to its machine and to its job. No other function does so.
 func (h *Holder) book(s *slot) {
-	s.machine.add(s)
+	s.machine.addSlot(s)
 	j := h.jobs[s.task.Job]
 	if j != nil && s.booked() && s.task.Index < j.spec.Tasks {
 		j.attempts.add(s)
 	}
 }
 
-// moveSlot is the one place where a slot's state changes, and with it the one where an
-// attempt leaves its job's picture.
-func (h *Holder) moveSlot(s *slot, to slotState) {
+// setSlotState changes the state of a slot that has been booked, and removes the attempt from
+// its job once it is no longer booked. No other function does so.
+func (h *Holder) setSlotState(s *slot, to slotState) {
 	if s.state == to {
 		return
 	}
-	h.Log.Debug("task changes state", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "from", s.state.String(), "to", to.String())
+	h.Log.Debug("task state changed", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "from", s.state.String(), "to", to.String())
 	was := s.booked()
 	s.state = to
 	if was && !s.booked() {
@@ -27,31 +27,32 @@
 	}
 }
 
-// setOff notes that a slot's attempt is proven not to be on its machine.
-func (h *Holder) setOff(s *slot, why releaseReason) {
+// releaseAttempt records that an attempt is proven not to be on its machine.
+func (h *Holder) releaseAttempt(s *slot, reason releaseReason) {
 	was := s.state
-	s.machine.drop(s)
-	h.moveSlot(s, off)
-	h.Metrics.Releases.WithLabelValues(string(why)).Inc()
-	if was != planned && was != exited && why.lost() {
-		h.Log.Info("task is off its machine", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "was", was.String(), "why", why)
+	s.machine.removeSlot(s)
+	h.setSlotState(s, off)
+	h.Metrics.Releases.WithLabelValues(string(reason)).Inc()
+	if was != planned && was != exited && reason.mayLoseWork() {
+		h.Log.Info("attempt released from its machine", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "was", was.String(), "why", reason)
 	}
 	h.dirty = true
 }
 
-// unbook takes an attempt that is not on its machine out of its job's picture. Its task
-// is in line again, and waits if it is not done and no other attempt of it is booked.
+// unbook removes an attempt that is no longer on its machine from its job. The task is queued
+// again; it counts as waiting if it is not done and no other attempt of it is booked.
 func (h *Holder) unbook(s *slot) {
 	j := h.jobs[s.task.Job]
 	if j == nil || !j.attempts.remove(s) || j.done.Has(s.task.Index) {
 		return
 	}
-	j.again = append(j.again, s.task.Index)
+	j.requeued = append(j.requeued, s.task.Index)
 	h.checkGang(j)
 }
 
-// checkGang stops what is left of a gang that is not whole. A holder that recovers does so
-// once it has heard of all machines; before, its picture may lack members that run.
+// checkGang stops the remaining members of a gang that is incomplete. A recovering holder does
+// not do so before it has heard from all machines, since until then it may not know of members
+// that are running.
 func (h *Holder) checkGang(j *job) {
 	switch {
 	case !j.gang() || h.state != placing:
@@ -59,35 +60,36 @@
 	case j.attempts.empty():
 		j.broken = false
 		return
-	case !j.broken && j.whole():
+	case !j.broken && j.gangComplete():
 		return
 	}
 	j.broken = true
 	for _, s := range j.attempts.all() {
 		if s.state == planned {
-			h.setOff(s, releasePlanDropped)
+			h.releaseAttempt(s, releasePlanDropped)
 		} else {
-			s.stop = stopGangBroken
+			s.stopRequest = stopGangBroken
 		}
 	}
 }
 
-// checkGangs stops what is left of gangs of which recovery found only a part.
+// checkGangs stops the remaining members of gangs of which recovery found only a part.
 func (h *Holder) checkGangs() {
 	for _, id := range core.SortedKeys(h.jobs) {
 		h.checkGang(h.jobs[id])
 	}
 }
 
-// useless tells why an attempt is of no use to its job: its task is done, or a newer attempt
-// of it is on a machine as well. Empty: it is of use. While a holder recovers, an attempt that
-// it was shown may be gone already, so none is stopped for the sake of another.
-func (h *Holder) useless(j *job, s *slot) stopReason {
+// redundancy returns why a job has no use for an attempt: its task is done, or a newer attempt
+// of the task is on a machine as well. It is empty if the attempt is needed. While the holder
+// recovers, no attempt is stopped in favour of another, since an attempt that it has been
+// shown may have left its machine already.
+func (h *Holder) redundancy(j *job, s *slot) stopReason {
 	switch {
 	case s.task.Index >= j.spec.Tasks:
 		return stopUnknownTask
 	case j.done.Has(s.task.Index) && j.gang():
-		return "" // a gang's members report by themselves that they are done
+		return "" // the members of a gang report their completion themselves
 	case j.done.Has(s.task.Index):
 		return stopTaskDone
 	case h.state != placing:
@@ -99,8 +101,8 @@
 	return ""
 }
 
-// finish notes that a task has completed.
-func (h *Holder) finish(j *job, index int) {
+// markDone records that a task has completed.
+func (h *Holder) markDone(j *job, index int) {
 	if j.done.Has(index) {
 		return
 	}
--- a/internal/block/attemptset.go
+++ b/internal/block/attemptset.go
@@ -7,16 +7,15 @@
 	"lichenstair/internal/core"
 )
 
-// attemptSet holds every attempt of a job's tasks that is booked on a machine. Whether a
-// task may be started is a function of this set and of nothing else: as long as an attempt
-// of the task is in it, wherever it was seen and whatever became of other attempts, no
-// other one is started. The zero value is empty.
+// attemptSet holds every booked attempt of a job's tasks. It alone decides whether a task may
+// be started: as long as it holds an attempt of the task, on any machine and whatever has
+// become of other attempts, no other attempt is started. The zero value is an empty set.
 type attemptSet struct {
-	// byTask holds the attempts of each task that has any, the newest first.
+	// byTask holds the attempts of each task that has any, newest first.
 	byTask map[int][]*slot
 }
 
-// add puts an attempt into the set.
+// add adds an attempt to the set.
 func (a *attemptSet) add(s *slot) {
 	if a.byTask == nil {
 		a.byTask = map[int][]*slot{}
@@ -26,7 +25,7 @@
 	a.byTask[s.task.Index] = attempts
 }
 
-// remove takes an attempt out of the set and tells whether it was there.
+// remove removes an attempt from the set and reports whether the set held it.
 func (a *attemptSet) remove(s *slot) bool {
 	attempts := a.byTask[s.task.Index]
 	i := slices.Index(attempts, s)
@@ -41,12 +40,12 @@
 	return true
 }
 
-// booked tells whether any attempt of a task may be on a machine.
+// booked reports whether any attempt of a task may be on a machine.
 func (a *attemptSet) booked(task int) bool { return len(a.byTask[task]) > 0 }
 
-// current returns the attempt that a task goes on with, nil if there is none: the newest.
-// An older one that is known as well was taken to be off by whoever started the newest, and
-// the other members of a gang are of the newest too.
+// current returns the newest attempt of a task, or nil if it has none. The task goes on with
+// this attempt: whoever started it took older ones to be off their machines, and the other
+// members of a gang belong to the newest attempt too.
 func (a *attemptSet) current(task int) *slot {
 	if attempts := a.byTask[task]; len(attempts) > 0 {
 		return attempts[0]
@@ -54,10 +53,10 @@
 	return nil
 }
 
-// empty tells whether no task of the job may be on a machine.
+// empty reports whether no task of the job may be on a machine.
 func (a *attemptSet) empty() bool { return len(a.byTask) == 0 }
 
-// newest returns the highest number of an attempt, 0 if there is none.
+// newest returns the highest attempt number, or 0 if the set is empty.
 func (a *attemptSet) newest() (number core.Attempt) {
 	for _, attempts := range a.byTask {
 		number = max(number, attempts[0].attempt)
@@ -65,7 +64,7 @@
 	return number
 }
 
-// all lists the attempts by task, the newest first.
+// all returns the attempts in the order of their tasks, newest first within a task.
 func (a *attemptSet) all() (out []*slot) {
 	for _, task := range core.SortedKeys(a.byTask) {
 		out = append(out, a.byTask[task]...)
@@ -73,7 +72,7 @@
 	return out
 }
 
-// any tells whether something holds for one of the attempts.
+// any reports whether the predicate holds for at least one attempt.
 func (a *attemptSet) any(holds func(*slot) bool) bool {
 	for _, attempts := range a.byTask {
 		if slices.ContainsFunc(attempts, holds) {
@@ -83,7 +82,7 @@
 	return false
 }
 
-// count counts the tasks for one of whose attempts something holds.
+// count returns the number of tasks of which at least one attempt satisfies the predicate.
 func (a *attemptSet) count(holds func(*slot) bool) (n int) {
 	for _, attempts := range a.byTask {
 		if slices.ContainsFunc(attempts, holds) {
--- a/internal/block/bench_test.go
+++ b/internal/block/bench_test.go
@@ -9,7 +9,7 @@
 	"lichenstair/internal/core"
 )
 
-// BenchmarkReport reads and takes in the report of a machine with 32 tasks.
+// BenchmarkReport measures decoding and applying the report of a machine with 32 tasks.
 func BenchmarkReport(b *testing.B) {
 	h, m := testHolder()
 	rep := api.Report{Machine: "n-1", Addr: "10.1.0.1:9000", Type: "large", Zone: "a", Session: 1, Term: 7}
@@ -23,7 +23,7 @@
 		if err := api.Decode(raw, &got); err != nil {
 			b.Fatal(err)
 		}
-		h.take(m, &got, evidence{fromReport, core.Time(rep.Sequence)})
+		h.applyMessage(m, &got, origin{fromReport, core.Time(rep.Sequence)})
 	}
 	if len(m.slots) != 32 {
 		b.Fatal(len(m.slots))
--- a/internal/block/candidates.go
+++ b/internal/block/candidates.go
@@ -11,9 +11,9 @@
 	"lichenstair/internal/placement"
 )
 
-// deferArrays chooses, team by team, the arrays that give way where not all can be
-// in time. A team can use what its arrays have and what is free, or what it is
-// guaranteed, up to its limit.
+// deferArrays chooses, for each team, the arrays to defer if not all of its arrays can be
+// complete in time. A team can use what its arrays hold plus what is free, or its guarantee if
+// that is more, up to its limit.
 func (h *Holder) deferArrays(jobs []*placement.Job, machines []*placement.Machine, teams map[string]*placement.Team) {
 	free := 0.0
 	for _, m := range machines {
@@ -21,61 +21,62 @@
 			free += m.Free().CPUs
 		}
 	}
-	timed := map[string][]*placement.Job{}
+	withDueTime := map[string][]*placement.Job{}
 	listed := map[core.JobID]bool{}
 	for _, j := range jobs {
 		listed[j.ID] = true
 		if len(j.Timing.Due) > 0 && j.MissedDueTimes == 0 {
-			timed[j.Team] = append(timed[j.Team], j)
+			withDueTime[j.Team] = append(withDueTime[j.Team], j)
 		}
 	}
-	have := map[string]float64{}
+	booked := map[string]float64{}
 	running := map[string]float64{}
 	for _, j := range h.jobs {
 		if j.gang() {
 			continue
 		}
-		have[j.spec.Team] += j.need.CPUs * float64(j.live())
+		booked[j.spec.Team] += j.resources.CPUs * float64(j.bookedTasks())
 		if !listed[j.id] {
-			running[j.spec.Team] += j.work()
+			running[j.spec.Team] += j.remainingWork()
 		}
 	}
 	for _, t := range h.Mirror.Teams(h.Config.Teams) {
 		team := teams[t.Name]
-		cpus := min(max(have[t.Name]+free, t.CPUs), t.CPUsMax-(team.Used.CPUs-have[t.Name]))
-		placement.Defer(h.Loop.WallNow(), cpus, running[t.Name], timed[t.Name])
-		placement.OrderByDue(h.Loop.WallNow(), cpus, running[t.Name], timed[t.Name])
+		cpus := min(max(booked[t.Name]+free, t.CPUs), t.CPUsMax-(team.Used.CPUs-booked[t.Name]))
+		placement.Defer(h.Loop.WallNow(), cpus, running[t.Name], withDueTime[t.Name])
+		placement.OrderByDue(h.Loop.WallNow(), cpus, running[t.Name], withDueTime[t.Name])
 	}
 }
 
-// keptNow lists the kinds of machine that arrays must leave alone: those always
-// kept for gangs, and those that a gang waits for now.
-func (h *Holder) keptNow(jobs []*placement.Job, types map[string]api.MachineType) capacity.GangKinds {
-	kept := h.GangKinds()
+// gangKindsNow returns the kinds of machine that arrays must not use: those always reserved
+// for gangs, and those that a waiting gang needs now.
+func (h *Holder) gangKindsNow(jobs []*placement.Job, types map[string]api.MachineType) capacity.GangKinds {
+	gangKinds := h.GangKinds()
 	for _, j := range jobs {
 		if !j.Gang || j.Failing {
 			continue
 		}
 		for _, name := range capacity.RestrictedTypes(j, types) {
-			kept.Add(name, j)
+			gangKinds.Add(name, j)
 		}
 	}
-	return kept
+	return gangKinds
 }
 
-// candidates lists the jobs with waiting tasks for the placement.
+// candidates returns the jobs with waiting tasks as input for the placement. It also updates
+// how long each job has been waiting, and keeps the holder dirty while a job is backing off.
 func (h *Holder) candidates(now core.Time) (out []*placement.Job) {
 	guarantees := capacity.NewGuarantees(h.Config.Teams)
-	zones := h.zones()
+	zones := h.bookedZones()
 	wall := h.Loop.WallNow()
-	for _, j := range h.readyJobs() {
-		guaranteed := guarantees.AddJob(j.spec.Team, j.need.CPUs*float64(j.spec.Tasks-j.done.Len()))
-		j.noteWait(now, time.Duration(wall-j.at)*time.Millisecond)
-		if j.holdoff > now {
+	for _, j := range h.unblockedJobs() {
+		guaranteed := guarantees.AddJob(j.spec.Team, j.resources.CPUs*float64(j.spec.Tasks-j.done.Len()))
+		j.updateWait(now, time.Duration(wall-j.readyAt)*time.Millisecond)
+		if j.backoffUntil > now {
 			h.dirty = true
 			continue
 		}
-		if j.waiting() <= 0 || j.broken || j.cancelled || j.gang() && !j.attempts.empty() {
+		if j.waitingTasks() <= 0 || j.broken || j.cancelled || j.gang() && !j.attempts.empty() {
 			continue
 		}
 		candidate := h.candidate(j, now, wall, guaranteed)
@@ -87,33 +88,33 @@
 	return out
 }
 
-// readyJobs lists the jobs that wait for no other, the oldest first.
-func (h *Holder) readyJobs() (ready []*job) {
+// unblockedJobs returns the jobs that do not wait for a dependency, oldest first.
+func (h *Holder) unblockedJobs() (ready []*job) {
 	for _, j := range h.jobs {
 		if !j.blocked {
 			ready = append(ready, j)
 		}
 	}
-	slices.SortFunc(ready, func(a, b *job) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.id, b.id)) })
+	slices.SortFunc(ready, func(a, b *job) int { return cmp.Or(cmp.Compare(a.readyAt, b.readyAt), cmp.Compare(a.id, b.id)) })
 	return ready
 }
 
 // candidate describes a job with waiting tasks for the placement.
 func (h *Holder) candidate(j *job, now core.Time, wall core.WallTime, guaranteed bool) *placement.Job {
-	p := placement.NewJob(j.id, j.at, j.spec)
-	p.Rank, p.Waiting, p.Guaranteed = j.rank, j.waiting(), guaranteed
-	p.ExcludedMachines = h.avoided(j, now)
-	if capacity.MissesObjectives(h.Config.Objectives, j.spec, j.sent, j.at, wall) {
+	p := placement.NewJob(j.id, j.readyAt, j.spec)
+	p.Rank, p.Waiting, p.Guaranteed = j.rank, j.waitingTasks(), guaranteed
+	p.ExcludedMachines = h.excludedMachines(j, now)
+	if capacity.MissesObjectives(h.Config.Objectives, j.spec, j.submittedAt, j.readyAt, wall) {
 		p.MissedDueTimes = len(h.Config.Objectives)
 	}
-	p.TimeSensitive = guaranteed || j.due > 0 || capacity.TimeSensitive(h.Config.Objectives, j.spec)
-	p.Timing = placement.Timing{Due: capacity.DueTimes(h.Config.Objectives, j.spec, j.sent, j.at, j.due), Work: j.work()}
+	p.TimeSensitive = guaranteed || j.dueBy > 0 || capacity.TimeSensitive(h.Config.Objectives, j.spec)
+	p.Timing = placement.Timing{Due: capacity.DueTimes(h.Config.Objectives, j.spec, j.submittedAt, j.readyAt, j.dueBy), Work: j.remainingWork()}
 	p.Starvation = j.starvation(now)
-	p.Failing = j.probing()
-	if p.Overdue = capacity.Overdue(j.at, wall, j.begun()); p.Overdue {
-		// It begins before all else, whatever its rank, but with one task if it
-		// can: the rest waits as its rank says. Low ranks that came while others
-		// used everything had not begun after four minutes.
+	p.Failing = j.failing()
+	if p.Overdue = capacity.Overdue(j.readyAt, wall, j.hasStarted()); p.Overdue {
+		// An overdue job starts before all others whatever its rank, with a single task if it
+		// is an array; its other tasks wait as its rank says. Without this, jobs of low ranks
+		// that arrived while others used all capacity had not started after four minutes.
 		p.Rank = placement.TopRank
 	}
 	if j.gang() {
@@ -123,28 +124,29 @@
 		p.Waiting = 1
 	}
 	if p.Failing {
-		p.Waiting = min(p.Waiting, 1-j.live())
+		p.Waiting = min(p.Waiting, 1-j.bookedTasks())
 	}
 	return &p
 }
 
-// avoided lists the machines on which a job must not be tried for now.
-func (h *Holder) avoided(j *job, now core.Time) map[core.MachineID]bool {
-	avoid := map[core.MachineID]bool{}
-	for id, until := range j.avoid {
+// excludedMachines returns the machines on which a job must not be tried for now, and forgets
+// those whose time has passed. The holder stays dirty while any are left.
+func (h *Holder) excludedMachines(j *job, now core.Time) map[core.MachineID]bool {
+	excluded := map[core.MachineID]bool{}
+	for id, until := range j.excludedUntil {
 		if until <= now {
-			delete(j.avoid, id)
+			delete(j.excludedUntil, id)
 			continue
 		}
-		avoid[id] = true
+		excluded[id] = true
 		h.dirty = true
 	}
-	return avoid
+	return excluded
 }
 
-// zones counts the tasks booked on machines, by job and zone, for the jobs to which
-// zones matter.
-func (h *Holder) zones() map[core.JobID]map[string]int {
+// bookedZones counts the tasks booked on machines, by job and zone, for the jobs with a rule
+// on zones.
+func (h *Holder) bookedZones() map[core.JobID]map[string]int {
 	out := map[core.JobID]map[string]int{}
 	for id, j := range h.jobs {
 		if j.spec.OneZone || j.spec.SpreadZones {
--- a/internal/block/dependency_test.go
+++ b/internal/block/dependency_test.go
@@ -16,17 +16,17 @@
 	"lichenstair/internal/worker"
 )
 
-// storeLoop answers the state service's side from a fixed set of keys.
-type storeLoop struct {
-	stillLoop
+// stateServiceLoop simulates a state service with a fixed set of keys.
+type stateServiceLoop struct {
+	manualLoop
 	items []api.Item
 }
 
-func (l *storeLoop) Call(r core.Request, done func(core.Response)) {
+func (l *stateServiceLoop) Call(r core.Request, done func(core.Response)) {
 	page := api.ItemPage{Items: l.items, Revision: 9}
 	switch {
 	case strings.Contains(r.Path, "/watch") && !strings.Contains(r.Path, "blockMs=0"):
-		return // nothing more happens
+		return // no further changes
 	case strings.Contains(r.Path, "/watch"), r.Path == "/txn":
 		page.Items = nil
 	}
@@ -37,15 +37,15 @@
 	done(core.Response{Status: 200, Body: body})
 }
 
-func (l *storeLoop) put(key string, record any) {
+func (l *stateServiceLoop) put(key string, record any) {
 	l.items = append(l.items, api.Item{Key: key, Value: state.Put(key, record).Value, Version: uint64(len(l.items) + 1)})
 }
 
-// holderOf is a holder that has just been granted block 0 with the jobs of team red, which
-// is guaranteed 20 CPUs.
-func holderOf(t *testing.T, jobs ...state.Job) *Holder {
+// holderWithJobs returns a holder that has just been granted block 0 with the jobs of team red,
+// which is guaranteed 20 CPUs.
+func holderWithJobs(t *testing.T, jobs ...state.Job) *Holder {
 	t.Helper()
-	loop := &storeLoop{}
+	loop := &stateServiceLoop{}
 	log := slog.New(slog.DiscardHandler)
 	cfg := &config.Config{
 		Host: "stalk-0", Workers: config.WorkerTimings{Report: time.Second, Lease: 10 * time.Second, Cancel: 35 * time.Second},
@@ -69,21 +69,21 @@
 	}, &record)
 }
 
-// recordOf is the record of an accepted job of ten tasks of one CPU.
-func recordOf(id, rank string, at core.WallTime, dependencies ...string) state.Job {
+// jobRecord returns the record of an accepted job of ten tasks of one CPU.
+func jobRecord(id, rank string, at core.WallTime, dependencies ...string) state.Job {
 	spec := &api.Job{ID: id, Team: "red", Form: api.FormArray, Rank: rank, Tasks: 10, CPUs: 1, MemoryGB: 1, EstimateS: 10, Dependencies: dependencies}
 	return state.Job{Phase: state.JobAccepted, Tasks: 10, AcceptedAt: at, Team: "red", CPUs: 1, MemoryGB: 1, Spec: spec}
 }
 
-// A job that waits for others has no waiting task, no place in the queue and no part of its
-// team's guarantee, though it is the oldest.
-func TestBlockedJobTakesNothing(t *testing.T) {
-	h := holderOf(t, recordOf("req-1", api.RankStandard, 500), recordOf("req-2", api.RankHigh, 100, "req-1"), recordOf("req-3", api.RankStandard, 900))
-	if n := h.jobs["req-2"].waiting(); n != 0 {
-		t.Errorf("%d tasks of a job wait though another has to be done first", n)
+// A job with unfinished dependencies has no waiting task, takes no place in the queue and no
+// part of its team's guarantee, even if it is the oldest.
+func TestBlockedJobHasNoWaitingTasksOrGuarantee(t *testing.T) {
+	h := holderWithJobs(t, jobRecord("req-1", api.RankStandard, 500), jobRecord("req-2", api.RankHigh, 100, "req-1"), jobRecord("req-3", api.RankStandard, 900))
+	if n := h.jobs["req-2"].waitingTasks(); n != 0 {
+		t.Errorf("waiting tasks of a blocked job: got %d, want 0", n)
 	}
 	if n := h.BlockHint().WaitingTasks; n != 20 {
-		t.Errorf("%d waiting tasks are told to the others, want 20", n)
+		t.Errorf("waiting tasks in the block hint: got %d, want 20", n)
 	}
 	var listed []core.JobID
 	for _, candidate := range h.candidates(0) {
@@ -93,37 +93,39 @@
 		}
 	}
 	if len(listed) != 2 || listed[0] != "req-1" || listed[1] != "req-3" {
-		t.Errorf("candidates: %v", listed)
+		t.Errorf("candidates: got %v, want req-1 and req-3", listed)
 	}
 }
 
-// Waiting, age and guarantees count from the end of the last dependency, for each holder
-// alike; for one whose record the previous version wrote, without the time of its end, from
-// the submission. The deadline counts from the submission, however long the job waits.
+// Waiting, age and guarantees count from the end of the last dependency, for every holder
+// alike. If the record of that dependency was written by the previous version, which did not
+// store the time of its end, they count from the submission. The deadline always counts from
+// the submission, however long the job waits.
 func TestTimesCountFromReadiness(t *testing.T) {
 	for _, tc := range []struct{ ended, ready core.WallTime }{{50_000, 50_000}, {0, 1000}} {
-		second := recordOf("req-2", api.RankStandard, 1000, "req-1")
+		second := jobRecord("req-2", api.RankStandard, 1000, "req-1")
 		deadline := 30.0
 		second.Spec.DeadlineS = &deadline
-		first := recordOf("req-1", api.RankStandard, 500).End(state.JobDone, tc.ended)
-		first.Spec = &api.Job{ID: "req-1"} // for the name of its key only
-		h := holderOf(t, first, second)
+		first := jobRecord("req-1", api.RankStandard, 500).End(state.JobDone, tc.ended)
+		first.Spec = &api.Job{ID: "req-1"} // only its key is needed
+		h := holderWithJobs(t, first, second)
 		j := h.jobs["req-2"]
-		if j == nil || j.blocked || j.at != tc.ready || j.sent != 1000 {
-			t.Fatalf("ended at %d: %+v", tc.ended, j)
+		if j == nil || j.blocked || j.readyAt != tc.ready || j.submittedAt != 1000 {
+			t.Fatalf("dependency ended at %d: unexpected job %+v", tc.ended, j)
 		}
 		candidates := h.candidates(0)
 		if len(candidates) != 1 || candidates[0].ReadyAt != tc.ready || candidates[0].Timing.Due[0] != 31_000 {
-			t.Errorf("ended at %d: %+v", tc.ended, candidates)
+			t.Errorf("dependency ended at %d: unexpected candidates %+v", tc.ended, candidates)
 		}
 	}
 }
 
-// A job counts with the highest rank of the jobs that need it, also beside others of its own.
-func TestRankOfDependentsCounts(t *testing.T) {
-	h := holderOf(t, recordOf("req-1", api.RankBestEffort, 500), recordOf("req-2", api.RankHigh, 600, "req-1"))
+// A job counts with the highest rank of the jobs that depend on it, also in relation to other
+// jobs of its team.
+func TestJobInheritsRankOfDependents(t *testing.T) {
+	h := holderWithJobs(t, jobRecord("req-1", api.RankBestEffort, 500), jobRecord("req-2", api.RankHigh, 600, "req-1"))
 	candidates := h.candidates(0)
 	if len(candidates) != 1 || candidates[0].Rank != placement.Rank(api.RankHigh) {
-		t.Errorf("%+v", candidates)
+		t.Errorf("candidates: got %+v, want one of high rank", candidates)
 	}
 }
--- a/internal/block/hints.go
+++ b/internal/block/hints.go
@@ -6,11 +6,11 @@
 	"lichenstair/internal/peer"
 )
 
-// BlockHint tells the other controllers how the block stands.
+// BlockHint returns the state of the block as it is sent to the other controllers.
 func (h *Holder) BlockHint() peer.BlockHint {
 	hint := peer.BlockHint{Number: h.number, Term: h.term, Placing: h.state == placing}
 	for _, j := range h.jobs {
-		hint.WaitingTasks += max(j.waiting(), 0)
+		hint.WaitingTasks += max(j.waitingTasks(), 0)
 	}
 	for _, id := range core.SortedKeys(h.machines) {
 		switch m := h.machines[id]; {
@@ -19,14 +19,15 @@
 			if m.empty() {
 				hint.IdleMachines = append(hint.IdleMachines, id)
 			}
-		case m.state == silent || m.state == unsure || m.state == lapsed && m.up:
+		case m.state == silent || m.state == unsure || m.state == lapsed && m.inUse:
 			hint.SilentMachines++
 		}
 	}
 	return hint
 }
 
-// RunningHints tells the other controllers what runs in the block, for display.
+// RunningHints returns how many tasks of each job are running, for display by other
+// controllers.
 func (h *Holder) RunningHints() (out []peer.RunningHint) {
 	for _, id := range core.SortedKeys(h.jobs) {
 		if n := h.RunningCount(id); n > 0 {
@@ -36,21 +37,21 @@
 	return out
 }
 
-// FailingJobs lists the jobs that are tried one task at a time.
+// FailingJobs returns the jobs that have only failed so far and are tried one task at a time.
 func (h *Holder) FailingJobs() (out []core.JobID) {
 	for _, id := range core.SortedKeys(h.jobs) {
-		if h.jobs[id].probing() {
+		if h.jobs[id].failing() {
 			out = append(out, id)
 		}
 	}
 	return out
 }
 
-// RunningCount counts the tasks of a job that run, for display.
+// RunningCount returns how many tasks of a job are running, for display.
 func (h *Holder) RunningCount(id core.JobID) int {
 	j := h.jobs[id]
 	if j == nil {
 		return 0
 	}
-	return j.attempts.count(func(s *slot) bool { return s.state == present && s.view != api.TaskFetching })
+	return j.attempts.count(func(s *slot) bool { return s.state == present && s.reportedState != api.TaskFetching })
 }
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -1,6 +1,6 @@
-// Package block is the holder's side of a block: it books what runs on the
-// block's machines, recovers that picture after a grant, starts and stops
-// tasks, and writes down what is done.
+// Package block implements the holder of a block: it books what runs on the block's machines,
+// recovers that state after a grant, starts and stops tasks, and persists which tasks are
+// done.
 package block
 
 import (
@@ -17,7 +17,7 @@
 	"lichenstair/internal/worker"
 )
 
-// Env is what a holder works with.
+// Env holds the dependencies and settings of a holder.
 type Env struct {
 	Loop      core.Loop
 	Log       *slog.Logger
@@ -36,73 +36,75 @@
 type holderState int
 
 const (
-	recovering holderState = iota // asks the machines; places nothing
+	recovering holderState = iota // queries the machines; places nothing
 	placing                       // every machine is accounted for
-	released                      // the block is no longer ours
+	released                      // the block is no longer held
 )
 
 func (s holderState) String() string { return [...]string{"recovering", "placing", "released"}[s] }
 
-// Holder holds one block.
+// Holder manages one block while this controller holds it.
 type Holder struct {
 	Env
-	number int
-	state  holderState
-	term   core.Term
-	at     core.Time // when we learnt of the grant
-	seq    uint64
-	round  int
-
-	machines      map[core.MachineID]*machine
-	jobs          map[core.JobID]*job
-	teams         map[string]*placement.Team // as the last pass left them
-	dirty         bool
-	passing       bool // a pass is due
-	passAt        core.Time
-	awake         core.Time // since when we listen without a halt
-	lookAt        core.Time // when what waits is looked at again, though nothing has changed
-	writing       bool
-	allocating    bool
-	reservedTerms struct { // terms in stock, to be shown to machines
-		next, last core.Term
-		short      bool // there is none for a machine that wants one
+	number     int
+	state      holderState
+	term       core.Term
+	grantedAt  core.Time // when the grant was seen
+	attemptSeq uint64    // number of attempts planned under this grant
+	batchSeq   int       // number of completion batches written under this grant
+
+	machines        map[core.MachineID]*machine
+	jobs            map[core.JobID]*job
+	teams           map[string]*placement.Team // as of the last pass, nil before the first
+	dirty           bool                       // something has changed since the last pass
+	passScheduled   bool                       // a pass is scheduled
+	lastPass        core.Time
+	resumedAt       core.Time // when the process last resumed after a pause
+	reevaluateAt    core.Time // when to run a pass again although nothing has changed
+	writeInFlight   bool      // a write of records has not been confirmed yet
+	allocatingTerms bool      // terms are being allocated
+	reservedTerms   struct {  // terms allocated in advance, to prompt machines with
+		next, last core.Term // the reserved terms; none if next is above last
+		exhausted  bool      // a machine needs a term and no suitable one is left
 	}
 }
 
 const (
-	margin         = 500 * time.Millisecond
-	answerDrop     = 4 * time.Second        // workers drop later answers to reports
-	reportPause    = 500 * time.Millisecond // at least, between two reports of a worker
-	maxOrders      = 150
-	passPause      = 150 * time.Millisecond
-	roundPause     = 250 * time.Millisecond
-	maxRounds      = 24
-	maxBatch       = 24 // changes in one transaction
-	unreliableTime = 60 * time.Second
-	avoidTime      = 60 * time.Second
-	manyFails      = 8 // in a row, of a job that has completed tasks
-	lookPause      = 5 * time.Second
-	releaseIdle    = 2 * time.Second
-	// inheritedWait bounds how long a job counts as having waited before its holder had
-	// the block: with what is left, it begins within the 90 s that users count.
-	inheritedWait = 60 * time.Second
-	askPause      = 100 * time.Millisecond // between questions without answer, doubled each time
-	maxAskPause   = 3 * time.Second
+	timingMargin          = 500 * time.Millisecond // added to bounds on lease expiry and message delivery
+	answerTimeout         = 4 * time.Second        // after sending a report, workers drop later answers
+	minReportInterval     = 500 * time.Millisecond // least time between two reports of a worker
+	maxStartsPerAnswer    = 150                    // start commands in one answer
+	minPassInterval       = 150 * time.Millisecond // least time between two passes
+	writeInterval         = 250 * time.Millisecond // the next write follows half of this after one was confirmed
+	maxCompletionBatches  = 24                     // from this many on, batches with entries of unfinished jobs are merged too
+	maxTxnChanges         = 24                     // changes in one transaction
+	unreliableFor         = 60 * time.Second       // how long a machine that failed tasks is used last
+	excludeFor            = 60 * time.Second       // how long a job is not tried on a machine on which it failed
+	failuresBeforeBackoff = 8                      // consecutive failures of a job that has completed tasks
+	reevaluateInterval    = 5 * time.Second        // between passes without any change
+	minIdleToRelease      = 2 * time.Second        // idle time before a machine may leave the block
+	// maxInheritedWait bounds the waiting time credited to a job for the time before this
+	// holder had the block. It is chosen so that such a job starts within the 90 s that users
+	// measure.
+	maxInheritedWait = 60 * time.Second
+	queryBackoff     = 100 * time.Millisecond // backoff after a query without answer, doubled each time
+	maxQueryBackoff  = 3 * time.Second        // bound of that backoff
 )
 
-// New starts to hold a block as its record in the mirror says.
+// New creates the holder of a block from the block's record in the mirror, and starts
+// recovery.
 func New(env Env, rec *state.Block) *Holder {
 	h := &Holder{
-		Env: env, number: rec.Number, term: rec.Term, at: env.Loop.Now(),
+		Env: env, number: rec.Number, term: rec.Term, grantedAt: env.Loop.Now(),
 		machines: map[core.MachineID]*machine{}, jobs: map[core.JobID]*job{},
 	}
 	h.Log = env.Log.With("block", rec.Number)
-	h.Log.Info("block granted to us", "term", rec.Term, "machines", h.Mirror.Inventory(rec.Number).Len(), "teams", rec.Teams, "revision", h.Mirror.Revision(), "proven_ago", h.sinceProof().String())
-	h.follow(rec)
+	h.Log.Info("block granted", "term", rec.Term, "machines", h.Mirror.Inventory(rec.Number).Len(), "teams", rec.Teams, "revision", h.Mirror.Revision(), "proven_ago", h.proofAge().String())
+	h.syncMachines(rec)
 	for _, id := range core.SortedKeys(h.Mirror.Jobs) {
-		h.followJob(id)
+		h.syncJob(id)
 	}
-	h.become(recovering)
+	h.setState(recovering)
 	h.Tick()
 	return h
 }
@@ -110,16 +112,16 @@
 // Term returns the term of the grant.
 func (h *Holder) Term() core.Term { return h.term }
 
-// termOf is the term under which a machine is commanded.
-func (h *Holder) termOf(m *machine) core.Term { return max(h.term, m.term) }
+// commandTerm returns the term under which a machine is commanded.
+func (h *Holder) commandTerm(m *machine) core.Term { return max(h.term, m.term) }
 
-// become is the one place where the holder's state changes.
-func (h *Holder) become(s holderState) {
+// setState changes the holder's state. No other function does so.
+func (h *Holder) setState(s holderState) {
 	if h.state == released {
 		return
 	}
 	if s != h.state {
-		h.Log.Info("holder changes state", "from", h.state.String(), "to", s.String(), "term", h.term, "after", h.Loop.Now().Sub(h.at).String())
+		h.Log.Info("holder state changed", "from", h.state.String(), "to", s.String(), "term", h.term, "after", h.Loop.Now().Sub(h.grantedAt).String())
 	}
 	h.state = s
 	if s == placing {
@@ -128,38 +130,40 @@
 	}
 }
 
-// Release ends the holding.
+// Release stops the holder; held reports are refused.
 func (h *Holder) Release() {
-	h.become(released)
+	h.setState(released)
 	for _, id := range core.SortedKeys(h.machines) {
-		h.flush(h.machines[id])
+		h.answerHeldReport(h.machines[id])
 	}
 }
 
-// maxSilence is how long a holder may go on without contact to the state
-// service: a cancellation accepted elsewhere must still take effect in time,
-// which needs the workers' leases to run out before its deadline.
-func maxSilence(w config.WorkerTimings) time.Duration {
-	return w.Cancel - w.Lease - 2*margin - time.Duration(float64(w.Cancel)*2*core.MaxClockDrift) - time.Second
+// maxContactAge is how long a holder may go on answering workers without contact to the state
+// service. A cancellation accepted by another controller must still take effect by its
+// deadline, so the leases renewed here have to expire before then.
+func maxContactAge(w config.WorkerTimings) time.Duration {
+	return w.Cancel - w.Lease - 2*timingMargin - time.Duration(float64(w.Cancel)*2*core.MaxClockDrift) - time.Second
 }
 
-// MayAnswerWorkers tells whether we may still answer workers.
+// MayAnswerWorkers reports whether this holder may still answer workers: it holds the block
+// and was proven up to date recently enough.
 func (h *Holder) MayAnswerWorkers() bool {
 	at, ok := h.Mirror.FreshAsOf()
-	return h.state != released && ok && h.Loop.Now().Sub(at) < maxSilence(h.Config.Workers)
+	return h.state != released && ok && h.Loop.Now().Sub(at) < maxContactAge(h.Config.Workers)
 }
 
-// sole is the last time at which the block is proven to have been ours alone.
-func (h *Holder) sole() core.Time {
+// provenHolderAt returns the last time at which the block is proven to have been held by us
+// alone.
+func (h *Holder) provenHolderAt() core.Time {
 	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
-		return h.at
+		return h.grantedAt
 	}
 	return at
 }
 
-// sinceProof is how long ago the mirror was last proven to show everything.
-func (h *Holder) sinceProof() time.Duration {
+// proofAge returns how long ago the mirror was last proven complete, or -1 if it never was.
+func (h *Holder) proofAge() time.Duration {
 	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
 		return -1
@@ -167,70 +171,72 @@
 	return h.Loop.Now().Sub(at)
 }
 
-// moveMachine is the one place where a machine's state changes.
-func (h *Holder) moveMachine(m *machine, to machineState) {
+// setMachineState changes the state of a machine that is in the block. No other function does
+// so.
+func (h *Holder) setMachineState(m *machine, to machineState) {
 	if m.state == to {
 		return
 	}
-	h.Log.Info("machine changes state", "machine", m.id, "from", m.state.String(), "to", to.String())
+	h.Log.Info("machine state changed", "machine", m.id, "from", m.state.String(), "to", to.String())
 	m.state = to
 	h.dirty = true
 }
 
-// NotePause tells that the process did not run for a while.
-func (h *Holder) NotePause() { h.awake = h.Loop.Now() }
+// NotePause records that the process was paused and has just resumed.
+func (h *Holder) NotePause() { h.resumedAt = h.Loop.Now() }
 
-// quiet is how long a machine may say nothing before it counts as silent.
-func (h *Holder) quiet() time.Duration { return max(3*h.Config.Workers.Report, 2*time.Second) }
+// silenceTimeout returns how long a machine may send nothing before it counts as silent.
+func (h *Holder) silenceTimeout() time.Duration { return max(3*h.Config.Workers.Report, 2*time.Second) }
 
-// Tick does what is due by time.
+// Tick runs the periodic work: time-outs, queries, term allocation, passes and writes.
 func (h *Holder) Tick() {
 	if h.state == released {
 		return
 	}
 	now := h.Loop.Now()
 	w := h.Config.Workers
-	quiet := h.quiet()
-	sole := h.sole()
+	maxSilence := h.silenceTimeout()
+	provenAt := h.provenHolderAt()
 	for _, id := range core.SortedKeys(h.machines) {
 		m := h.machines[id]
-		if (!m.fenced && m.state != lapsed || m.unreachable && m.state == live) && now >= m.askNext {
+		if (!m.fenced && m.state != lapsed || m.unreachable && m.state == live) && now >= m.nextQuery {
 			h.fence(m)
 		}
-		if m.state == live && now.Sub(max(m.heard, h.awake)) > quiet {
-			h.moveMachine(m, silent)
-			h.cancelPlans(m)
+		if m.state == live && now.Sub(max(m.lastMessage, h.resumedAt)) > maxSilence {
+			h.setMachineState(m, silent)
+			h.dropMachinePlans(m)
 		}
-		if (m.state == live || m.state == silent || m.state == unsure) && sole > m.answer.Add(core.WithDrift(w.Lease)+margin) {
-			// The lease counts from the sending of the last answered report, which
-			// was before our answer; and until sole, nobody else can have answered.
-			// By our clock alone it is not sure: after a halt, or without the state
-			// service, another holder may have kept the machine alive, and its tasks
-			// were taken to be off it.
-			h.moveMachine(m, lapsed)
+		if (m.state == live || m.state == silent || m.state == unsure) && provenAt > m.lastRenewal.Add(core.WithDrift(w.Lease)+timingMargin) {
+			// The worker's lease counts from the sending of the last answered report, which
+			// was before our answer, and no other holder can have answered until provenAt. Our
+			// own clock alone proves nothing: after a pause of the process, or without the
+			// state service, another holder may have renewed the lease, and running tasks
+			// would be taken to be off the machine.
+			h.setMachineState(m, lapsed)
 			h.setUnreachable(m, true)
-			h.clearMachine(m, releaseLapsed)
-			m.floor = m.season
+			h.releaseAllAttempts(m, releaseLeaseExpired)
+			m.ignoredThrough = m.session
 			m.fenced = true
 		}
-		h.saveInTime(m, now)
+		h.saveBeforeReclaim(m, now)
 		h.drain(m, now)
 		switch {
 		case !m.empty():
-			m.idle = 0
-		case m.idle == 0:
-			m.idle = now
+			m.idleSince = 0
+		case m.idleSince == 0:
+			m.idleSince = now
 		}
 	}
 	h.checkRecovered()
 	if h.state == placing {
 		h.allocateTerms()
 	}
-	if now >= h.lookAt && len(h.jobs) > 0 {
-		// How long a job has waited decides as well, and time alone changes nothing else.
-		h.lookAt, h.dirty = now.Add(lookPause), true
+	if now >= h.reevaluateAt && len(h.jobs) > 0 {
+		// The placement also depends on how long jobs have waited, which changes without any
+		// event.
+		h.reevaluateAt, h.dirty = now.Add(reevaluateInterval), true
 	}
-	h.passSoon()
-	h.flushReady()
-	h.write()
+	h.schedulePass()
+	h.answerHeldReports()
+	h.writeRecords()
 }
--- a/internal/block/job.go
+++ b/internal/block/job.go
@@ -9,64 +9,67 @@
 	"lichenstair/internal/placement"
 )
 
-// job is an unfinished job of a team of the block.
+// job is an unfinished job of one of the block's teams.
 type job struct {
-	id      core.JobID
-	at      core.WallTime // since when it may run
-	sent    core.WallTime // when it was submitted
-	blocked bool          // a job that it depends on is not done yet
-	due     core.WallTime // by when jobs that need it want it done; 0: any time
-	spec    *api.Job
-	rank    int
-	seen    bool // a task of it has been seen on a machine
-	need    placement.Resources
-	done    core.IndexSet // known done, durable or not
-	pending core.IndexSet // done, not yet durable
-	// attempts is all that is known of where its tasks may be.
+	id          core.JobID
+	readyAt     core.WallTime // since when it may run
+	submittedAt core.WallTime // when it was submitted
+	blocked     bool          // a job that it depends on is not done yet
+	dueBy       core.WallTime // time by which dependent jobs need it to be done; 0: none
+	spec        *api.Job
+	rank        int
+	reported    bool // one of its tasks has been reported by a machine
+	resources   placement.Resources
+	done        core.IndexSet // tasks known to be done, durably or not
+	pending     core.IndexSet // done, not yet durable
+	// attempts holds the booked attempts of its tasks.
 	attempts attemptSet
-	cursor   int   // tasks below are or were started, or done
-	again    []int // tasks below cursor that wait again
-	// withoutTasks: none of its tasks has a machine, since withoutSince.
-	withoutTasks bool
-	withoutSince core.Time
-	inherited    bool // it waited before this holder had the block, nobody knows for how long
-	// cancelled: another controller told so; the mirror does not show it yet.
-	cancelled bool
-	broken    bool // gang: a member is gone; the rest has to go
-	avoid     map[core.MachineID]core.Time
-	// failed holds the machines on which tasks have failed, as long as none has
-	// completed; after that the job is known to be good.
-	failed  map[core.MachineID]bool
-	fails   int // in a row
-	holdoff core.Time
+	cursor   int   // every task below has been started or is done
+	requeued []int // tasks below cursor that wait again
+	// unplaced is set while no machine has reported a task of the job; unplacedSince is when
+	// that began.
+	unplaced      bool
+	unplacedSince core.Time
+	// waitInherited: it waited before this holder had the block, for an unknown time.
+	waitInherited bool
+	// cancelled: another controller has announced the cancellation; the mirror may not show it
+	// yet.
+	cancelled     bool
+	broken        bool                         // gang with a missing member; the others must stop
+	excludedUntil map[core.MachineID]core.Time // machines not to be used, with the end of the exclusion
+	// failedMachines holds the machines on which tasks have failed. It is cleared when a task
+	// completes: from then on the job is known to work.
+	failedMachines map[core.MachineID]bool
+	failures       int       // consecutive failures
+	backoffUntil   core.Time // no task is placed before this time
 }
 
 func (j *job) gang() bool { return j.spec.Form == api.FormGang }
 
 func (j *job) estimate() time.Duration { return core.Seconds(j.spec.EstimateS) }
 
-// probing tells whether the job is suspected to have been submitted with a mistake:
-// it has failed on more than one machine and completed nothing.
-func (j *job) probing() bool { return len(j.failed) > 1 && j.done.Empty() }
+// failing reports whether the job is suspected to be faulty: it has failed on more than one
+// machine and completed nothing.
+func (j *job) failing() bool { return len(j.failedMachines) > 1 && j.done.Empty() }
 
-// waiting counts the tasks that neither are done nor may be on a machine. It is where a job that
-// depends on others is kept from starting, and from all that comes with waiting: a place
-// in line, a reservation, machines.
-func (j *job) waiting() int {
+// waitingTasks counts the tasks that are not done and not booked on any machine. It is 0 for a
+// job with unfinished dependencies, which keeps the job from starting and from taking a place
+// in the queue, a reservation or machines.
+func (j *job) waitingTasks() int {
 	if j.blocked {
 		return 0
 	}
-	return j.spec.Tasks - j.done.Len() - j.live()
+	return j.spec.Tasks - j.done.Len() - j.bookedTasks()
 }
 
-// live counts the tasks that are not done and may be on a machine.
-func (j *job) live() int {
+// bookedTasks counts the tasks that are not done and may be on a machine.
+func (j *job) bookedTasks() int {
 	return j.attempts.count(func(s *slot) bool { return !j.done.Has(s.task.Index) })
 }
 
-// whole tells whether every task of a gang that is not done has an attempt of the same
-// number, the newest.
-func (j *job) whole() bool {
+// gangComplete reports whether every task of a gang that is not done has an attempt with the
+// newest attempt number.
+func (j *job) gangComplete() bool {
 	number, members := j.attempts.newest(), 0
 	for task, attempts := range j.attempts.byTask {
 		if !j.done.Has(task) && attempts[0].attempt == number {
@@ -76,51 +79,53 @@
 	return members == j.spec.Tasks-j.done.Len()
 }
 
-// noteWait follows since when the job has had nothing on a machine. What it waited before
-// its holder had the block is not known; without counting it, jobs waited 90 s beside free capacity
-// whenever their block changed hands in between.
-func (j *job) noteWait(now core.Time, age time.Duration) {
+// updateWait tracks since when the job has had no task on a machine. How long it waited under
+// an earlier holder is not known, so its age counts, up to maxInheritedWait; without that,
+// jobs waited 90 s beside free capacity whenever their block changed hands in between.
+func (j *job) updateWait(now core.Time, age time.Duration) {
 	switch {
 	case j.onMachines():
-		j.withoutTasks, j.inherited = false, false
-	case !j.withoutTasks:
-		j.withoutTasks, j.withoutSince = true, now
-		if j.inherited {
-			j.withoutSince = now.Add(-min(age, inheritedWait))
+		j.unplaced, j.waitInherited = false, false
+	case !j.unplaced:
+		j.unplaced, j.unplacedSince = true, now
+		if j.waitInherited {
+			j.unplacedSince = now.Add(-min(age, maxInheritedWait))
 		}
 	}
 }
 
-// onMachines tells whether a machine has reported a task of the job. A plan, or a start
-// that may still be lost, ends no wait: each that came to nothing had the wait begin anew.
+// onMachines reports whether a machine has reported a task of the job. A planned start, or one
+// that may still be lost, does not end the wait: otherwise the wait started again with each
+// start that failed.
 func (j *job) onMachines() bool {
 	return j.attempts.any(func(s *slot) bool { return s.state == present })
 }
 
-// starvation tells how far the wait of a job that has no task placed has gone.
+// starvation returns how starved a job without booked tasks is.
 func (j *job) starvation(now core.Time) placement.Starvation {
-	if !j.withoutTasks || j.live() > 0 {
+	if !j.unplaced || j.bookedTasks() > 0 {
 		return placement.NotStarving
 	}
-	return capacity.StarvationAfter(now.Sub(j.withoutSince))
+	return capacity.StarvationAfter(now.Sub(j.unplacedSince))
 }
 
-// begun tells whether a task of the job has been on a machine. Plans do not count: a
-// job whose only plan had been dropped was taken for begun, and waited for ever.
-func (j *job) begun() bool { return j.seen || !j.done.Empty() }
+// hasStarted reports whether a task of the job has been on a machine. Planned starts do not
+// count: a job whose only planned start had been dropped was taken to have started, and waited
+// for ever.
+func (j *job) hasStarted() bool { return j.reported || !j.done.Empty() }
 
-// work estimates the work that is left, in CPU seconds; tasks that run count half.
-func (j *job) work() float64 {
-	live := float64(j.live())
-	left := float64(j.spec.Tasks-j.done.Len()) - live/2
-	return left * j.estimate().Seconds() * j.need.CPUs
+// remainingWork estimates the work left in CPU seconds; booked tasks count half.
+func (j *job) remainingWork() float64 {
+	booked := float64(j.bookedTasks())
+	left := float64(j.spec.Tasks-j.done.Len()) - booked/2
+	return left * j.estimate().Seconds() * j.resources.CPUs
 }
 
-// next takes a waiting task.
-func (j *job) next() (int, bool) {
-	for len(j.again) > 0 {
-		i := j.again[0]
-		j.again = j.again[1:]
+// nextWaiting takes the next waiting task and returns its index.
+func (j *job) nextWaiting() (int, bool) {
+	for len(j.requeued) > 0 {
+		i := j.requeued[0]
+		j.requeued = j.requeued[1:]
 		if !j.done.Has(i) && !j.attempts.booked(i) {
 			return i, true
 		}
--- a/internal/block/machine.go
+++ b/internal/block/machine.go
@@ -13,110 +13,112 @@
 type machineState int
 
 const (
-	booting machineState = iota // in the block, has not reported
-	unsure                      // may run tasks that we do not know of
+	booting machineState = iota // in the block, has not reported yet
+	unsure                      // may run tasks that the holder does not know of
 	live                        // accounted for and reporting
-	silent                      // accounted for, has not reported for a while
-	lapsed                      // its lease has surely run out; nothing is on it
+	silent                      // accounted for, has stopped reporting
+	lapsed                      // its lease is proven to have expired; nothing runs on it
 )
 
 func (s machineState) String() string {
 	return [...]string{"booting", "unsure", "live", "silent", "lapsed"}[s]
 }
 
+// machine is a machine of the block with the attempts that are or may be on it.
 type machine struct {
-	id    core.MachineID
-	state machineState
-	addr  string
-	typ   string
-	zone  string
-	spot  bool
-	total placement.Resources
-	up    bool // durable
-	asked bool
-	lost  bool
-	term  core.Term // under which it was assigned to the block
-	// leaving is the version of the machine's part under which a write that
-	// releases the machine was sent; until the part has changed, that write may
-	// still be carried out, and nothing may be planned on the machine.
-	leaving core.Revision
-	// lowering is the same for a write that calls the machine unused.
-	lowering core.Revision
-
-	season      core.Session
-	tally       core.Sequence
-	floor       core.Session // reports of this season and before are dead
-	fenced      bool
-	unheard     core.Time // since when it is answered without showing our term
-	unreachable bool      // it reports, but what we say does not reach it
+	id              core.MachineID
+	state           machineState
+	addr            string
+	machineType     string
+	zone            string
+	spot            bool
+	total           placement.Resources // resources of its type; zero while the type is unknown
+	inUse           bool                // as recorded durably
+	draining        bool                // the leader wants it back for another block
+	returnRequested bool                // to be returned to the cloud
+	term            core.Term           // under which it was assigned to the block
+	// releaseVersion is the version of the machine's inventory part on which a write that
+	// moves the machine to the pool was based. Until that part changes the write may still
+	// take effect, so nothing may be planned on the machine.
+	releaseVersion core.Revision
+	// clearInUseVersion is the same for a write that marks the machine as unused.
+	clearInUseVersion core.Revision
+
+	session         core.Session  // of the last accepted message; 0: none yet
+	sequence        core.Sequence // of the last accepted message
+	ignoredThrough  core.Session  // messages of this and earlier sessions are ignored
+	fenced          bool          // commands of earlier holders can no longer take effect on it
+	termUnseenSince core.Time     // since when it has been answered without its reports carrying our term; 0: they do
+	unreachable     bool          // it reports, but our answers do not reach it
 	// unreachableSince is when unreachable last changed.
 	unreachableSince core.Time
-	asking           bool
-	unheeded         int       // questions in a row that got no answer
-	askNext          core.Time // not to be asked again before
-	joined           core.Time
-	heard            core.Time
-	reported         core.Time // its last report
-	answered         core.Time // our last answer to one
-	prompted         core.Time // when it was last shown a higher term to make it report
-	answer           core.Time // last time at which a holder may have renewed its lease
-	notice           core.Time // when the cloud takes it; 0: no notice
-	idle             core.Time // since when nothing is booked; 0: something is
-	fails            int
-	unreliable       core.Time
-	images           map[string]bool
-	recent           []string
+	queryInFlight    bool            // at most one query or prompt at a time
+	failedQueries    int             // consecutive queries without answer
+	nextQuery        core.Time       // no query before this time
+	joinedAt         core.Time       // when it was added to the block
+	lastMessage      core.Time       // when its last accepted message arrived
+	lastReport       core.Time       // when its last report arrived
+	lastAnswer       core.Time       // when a report of it was last answered
+	lastPrompt       core.Time       // when it was last shown a higher term to make it report
+	lastRenewal      core.Time       // last time at which a holder may have renewed its lease
+	reclaimAt        core.Time       // when the cloud takes it back; 0: no notice
+	idleSince        core.Time       // since when nothing is booked on it; 0: something is
+	failures         int             // failures counted against it since a task last completed on it
+	unreliableUntil  core.Time       // until when it is used last
+	images           map[string]bool // images known to be on it
+	recentImages     []string        // the same images, oldest first
 	slots            map[slotKey]*slot
-	sorted           []*slot // what list returns, as long as no slot comes or goes
-	held             *held   // a report that waits for its answer
-	room             lastingRoom
+	sortedSlots      []*slot     // cache of orderedSlots, nil after a slot was added or removed
+	heldReport       *heldReport // report whose answer is held back
+	freeWindow       freeWindow
 }
 
-// held is a report whose answer is kept back for a moment: a worker with
-// nothing to do learns of a start at once, instead of with its next report.
-type held struct {
+// heldReport is a report whose answer is held back for a moment, so that a worker with nothing
+// to do learns of a start at once instead of with its next report.
+type heldReport struct {
 	done func(api.ReportResponse, bool)
 }
 
-func (m *machine) booked() placement.Resources {
+// bookedResources returns the sum of what the booked attempts on the machine need.
+func (m *machine) bookedResources() placement.Resources {
 	var n placement.Resources
 	for _, s := range m.slots {
 		if s.booked() {
-			n = n.Add(s.need)
+			n = n.Add(s.resources)
 		}
 	}
 	return n
 }
 
-// add and drop are the places where slots come and go.
-func (m *machine) add(s *slot) {
+// addSlot and removeSlot are the only functions that change the set of slots.
+func (m *machine) addSlot(s *slot) {
 	m.slots[s.slotKey] = s
-	m.sorted = nil
+	m.sortedSlots = nil
 }
 
-func (m *machine) drop(s *slot) {
+func (m *machine) removeSlot(s *slot) {
 	delete(m.slots, s.slotKey)
-	m.sorted = nil
+	m.sortedSlots = nil
 }
 
-// list returns the machine's slots in the order of their tasks. Each pass asks every
-// machine, and each report its own twice, so the order is kept until it changes; a
-// list that was handed out stays as it was.
-func (m *machine) list() []*slot {
-	if m.sorted == nil {
-		m.sorted = make([]*slot, 0, len(m.slots))
+// orderedSlots returns the machine's slots ordered by task and attempt. Every pass reads this
+// list for all machines, and every report reads that of its machine twice, so it is cached
+// until the set changes. A list that was returned earlier is not modified.
+func (m *machine) orderedSlots() []*slot {
+	if m.sortedSlots == nil {
+		m.sortedSlots = make([]*slot, 0, len(m.slots))
 		for _, s := range m.slots {
-			m.sorted = append(m.sorted, s)
+			m.sortedSlots = append(m.sortedSlots, s)
 		}
-		slices.SortFunc(m.sorted, func(a, b *slot) int {
+		slices.SortFunc(m.sortedSlots, func(a, b *slot) int {
 			return cmp.Or(cmp.Compare(a.task.Job, b.task.Job), cmp.Compare(a.task.Index, b.task.Index), cmp.Compare(a.attempt, b.attempt))
 		})
 	}
-	return m.sorted
+	return m.sortedSlots
 }
 
-// planned tells whether all that is booked on the machine is still only planned.
-func (m *machine) planned() bool {
+// onlyPlanned reports whether all booked attempts on the machine are still planned.
+func (m *machine) onlyPlanned() bool {
 	for _, s := range m.slots {
 		if s.booked() && s.state != planned {
 			return false
@@ -125,7 +127,7 @@
 	return true
 }
 
-// empty tells whether nothing is booked on the machine.
+// empty reports whether nothing is booked on the machine.
 func (m *machine) empty() bool {
 	for _, s := range m.slots {
 		if s.booked() {
@@ -135,16 +137,18 @@
 	return true
 }
 
-const keptImages = 20
+const maxRecentImages = 20 // images remembered for each machine
 
-func (m *machine) sawImage(image string) {
+// noteImage records that an image is on the machine, and forgets the oldest one if there are
+// more than maxRecentImages.
+func (m *machine) noteImage(image string) {
 	if m.images[image] {
 		return
 	}
 	m.images[image] = true
-	m.recent = append(m.recent, image)
-	if len(m.recent) > keptImages {
-		delete(m.images, m.recent[0])
-		m.recent = m.recent[1:]
+	m.recentImages = append(m.recentImages, image)
+	if len(m.recentImages) > maxRecentImages {
+		delete(m.images, m.recentImages[0])
+		m.recentImages = m.recentImages[1:]
 	}
 }
--- a/internal/block/pass.go
+++ b/internal/block/pass.go
@@ -9,53 +9,54 @@
 	"lichenstair/internal/placement"
 )
 
-// passSoon plans what can start, not too often.
-func (h *Holder) passSoon() {
+// schedulePass runs a pass if something has changed, at most once per minPassInterval.
+func (h *Holder) schedulePass() {
 	now := h.Loop.Now()
 	if !h.dirty || h.state != placing {
 		return
 	}
-	if now.Sub(h.passAt) >= passPause {
-		h.pass()
+	if now.Sub(h.lastPass) >= minPassInterval {
+		h.runPass()
 		return
 	}
-	if !h.passing {
-		h.passing = true
-		h.Loop.After(h.passAt.Add(passPause).Sub(now), func() {
-			h.passing = false
-			h.passSoon()
+	if !h.passScheduled {
+		h.passScheduled = true
+		h.Loop.After(h.lastPass.Add(minPassInterval).Sub(now), func() {
+			h.passScheduled = false
+			h.schedulePass()
 		})
 	}
 }
 
-// cancelPlans drops plans for a machine that does not fetch them.
-func (h *Holder) cancelPlans(m *machine) {
-	for _, s := range m.list() {
+// dropMachinePlans drops the planned starts of a machine that does not fetch them.
+func (h *Holder) dropMachinePlans(m *machine) {
+	for _, s := range m.orderedSlots() {
 		if s.state == planned {
-			h.setOff(s, releasePlanDropped)
+			h.releaseAttempt(s, releasePlanDropped)
 		}
 	}
 }
 
+// usable reports whether tasks can be planned on a machine.
 func (h *Holder) usable(m *machine) bool {
-	return m.state == live && m.fenced && !m.unreachable && m.notice == 0 && !m.lost && m.total.CPUs > 0 &&
-		!h.unsettled(m, m.lowering) && !h.unsettled(m, m.leaving)
+	return m.state == live && m.fenced && !m.unreachable && m.reclaimAt == 0 && !m.returnRequested && m.total.CPUs > 0 &&
+		!h.writePending(m, m.clearInUseVersion) && !h.writePending(m, m.releaseVersion)
 }
 
-// pass plans starts.
-func (h *Holder) pass() {
+// runPass runs the placement and books the starts that it decided on.
+func (h *Holder) runPass() {
 	now := h.Loop.Now()
-	h.passAt = now
+	h.lastPass = now
 	h.dirty = false
 	types := h.Types()
 	jobs := h.candidates(now)
-	kept := h.keptNow(jobs, types)
-	h.noteRoom(types)
-	h.teams = h.teamsNow()
-	machines := h.machinesNow(now, kept)
+	gangKinds := h.gangKindsNow(jobs, types)
+	h.updateTotals(types)
+	h.teams = h.teamUsage()
+	machines := h.usableMachines(now, gangKinds)
 	h.deferArrays(jobs, machines, h.teams)
 	for _, j := range jobs {
-		j.GangMachinesOnly = capacity.GangMachinesOnly(j, types, kept)
+		j.GangMachinesOnly = capacity.GangMachinesOnly(j, types, gangKinds)
 	}
 	result := placement.Schedule(now, machines, jobs, h.teams, h.Policy)
 	h.preempt(now, jobs, machines, h.teams)
@@ -65,97 +66,98 @@
 	if result.ReservedJob != "" {
 		h.Log.Debug("oldest waiting job holds a reservation", "job", result.ReservedJob, "in", result.ReservedAt.Sub(now).String())
 	}
-	h.requestUp()
-	h.flushReady()
+	h.persistInUse()
+	h.answerHeldReports()
 }
 
-// noteRoom takes in what the machines have, as far as their types are known.
-func (h *Holder) noteRoom(types map[string]api.MachineType) {
+// updateTotals sets the machines' resources from their types, as far as those are known.
+func (h *Holder) updateTotals(types map[string]api.MachineType) {
 	for _, m := range h.machines {
-		if t, ok := types[m.typ]; ok {
+		if t, ok := types[m.machineType]; ok {
 			m.total = placement.CapacityOf(t)
 		}
 	}
 }
 
-// teamsNow tells what each team uses and may use. What may still be on a machine counts,
-// whatever has become of its job.
-func (h *Holder) teamsNow() map[string]*placement.Team {
+// teamUsage returns the usage and quota of each team. An attempt that may still be on a
+// machine counts, whatever has become of its job.
+func (h *Holder) teamUsage() map[string]*placement.Team {
 	teams := map[string]*placement.Team{}
 	for _, t := range h.Mirror.Teams(h.Config.Teams) {
 		teams[t.Name] = &placement.Team{Quota: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}
 	}
 	for _, id := range core.SortedKeys(h.machines) {
-		for _, s := range h.machines[id].list() {
+		for _, s := range h.machines[id].orderedSlots() {
 			if team := teams[s.team]; team != nil && s.booked() {
-				team.Used = team.Used.Add(s.need)
+				team.Used = team.Used.Add(s.resources)
 			}
 		}
 	}
 	return teams
 }
 
-// machinesNow describes the machines on which something can be started.
-func (h *Holder) machinesNow(now core.Time, kept capacity.GangKinds) (out []*placement.Machine) {
+// usableMachines describes, for the placement, the machines on which tasks can be started.
+func (h *Holder) usableMachines(now core.Time, gangKinds capacity.GangKinds) (out []*placement.Machine) {
 	for _, id := range core.SortedKeys(h.machines) {
 		if m := h.machines[id]; h.usable(m) {
-			out = append(out, h.describe(m, now, kept))
+			out = append(out, h.describeMachine(m, now, gangKinds))
 		}
 	}
 	return out
 }
 
-// describe describes a machine for the placement.
-func (h *Holder) describe(m *machine, now core.Time, kept capacity.GangKinds) *placement.Machine {
+// describeMachine describes a machine for the placement.
+func (h *Holder) describeMachine(m *machine, now core.Time, gangKinds capacity.GangKinds) *placement.Machine {
 	p := &placement.Machine{
-		ID: m.id, Type: m.typ, Zone: m.zone, Spot: m.spot, Total: m.total, Booked: m.booked(), Images: m.images,
-		Unreliable: m.unreliable > now, Draining: m.asked, Tasks: len(m.slots), MaxTasks: placement.MaxTasks,
+		ID: m.id, Type: m.machineType, Zone: m.zone, Spot: m.spot, Total: m.total, Booked: m.bookedResources(), Images: m.images,
+		Unreliable: m.unreliableUntil > now, Draining: m.draining, Tasks: len(m.slots), MaxTasks: placement.MaxTasks,
 	}
-	m.room.note(now, p.Free())
-	p.RecentMinFree = m.room.least()
-	p.GangTaskSize, p.GangReserved = kept[capacity.MachineKind{Type: m.typ, Spot: m.spot}]
+	m.freeWindow.record(now, p.Free())
+	p.RecentMinFree = m.freeWindow.minimum()
+	p.GangTaskSize, p.GangReserved = gangKinds[capacity.MachineKind{Type: m.machineType, Spot: m.spot}]
 	for _, s := range m.slots {
 		if !s.booked() {
 			continue
 		}
-		ends := h.ends(s, now)
-		p.Releases = append(p.Releases, placement.Release{At: ends, Resources: s.need})
-		p.BusyFor = max(p.BusyFor, ends.Sub(now))
+		end := h.expectedEnd(s, now)
+		p.Releases = append(p.Releases, placement.Release{At: end, Resources: s.resources})
+		p.BusyFor = max(p.BusyFor, end.Sub(now))
 		if j := h.jobs[s.task.Job]; j == nil || !j.gang() {
-			p.BookedByArrays = p.BookedByArrays.Add(s.need)
+			p.BookedByArrays = p.BookedByArrays.Add(s.resources)
 		}
 	}
 	return p
 }
 
-// ends is when a task ends by estimate; one that overruns is given more time,
-// in growing steps, instead of being expected to end at any moment.
-func (h *Holder) ends(s *slot, now core.Time) core.Time {
-	if s.ends > now {
-		return s.ends
-	}
-	over := now.Sub(s.ends)
-	return now.Add(max(over/2, time.Second))
+// expectedEnd returns when an attempt is estimated to end. One that overruns its estimate gets
+// more time, in growing steps, instead of being expected to end at any moment.
+func (h *Holder) expectedEnd(s *slot, now core.Time) core.Time {
+	if s.expectedEnd > now {
+		return s.expectedEnd
+	}
+	overrun := now.Sub(s.expectedEnd)
+	return now.Add(max(overrun/2, time.Second))
 }
 
-// plan books a task on a machine; the start goes out with its next report.
+// plan books the next waiting task of a job on a machine; the start is sent in the answer to
+// the machine's next report.
 func (h *Holder) plan(j *job, m *machine) {
-	i, ok := j.next()
+	i, ok := j.nextWaiting()
 	if !ok {
-		h.Log.Error("no task waits though the placement counted one", "job", j.id)
+		h.Log.Error("placement started a job without a waiting task", "job", j.id)
 		return
 	}
 	var attempt core.Attempt
 	if j.gang() {
-		attempt = j.attempts.newest() // of the members that this pass has planned already
+		attempt = j.attempts.newest() // shared with the members planned earlier in this pass
 	}
 	if attempt == 0 {
-		// The term makes it unique among holders, the count among our own.
-		h.seq++
-		attempt = core.Attempt(uint64(h.term)<<24 + h.seq)
+		// The term makes the number unique among holders, the counter among our own attempts.
+		h.attemptSeq++
+		attempt = core.Attempt(uint64(h.term)<<24 + h.attemptSeq)
 	}
-	s := &slot{slotKey: slotKey{core.TaskID{Job: j.id, Index: i}, attempt}, machine: m, team: j.spec.Team, need: j.need}
-	s.ends = h.Loop.Now().Add(h.expected(s, m))
+	s := &slot{slotKey: slotKey{core.TaskID{Job: j.id, Index: i}, attempt}, machine: m, team: j.spec.Team, resources: j.resources}
+	s.expectedEnd = h.Loop.Now().Add(h.expectedDuration(s, m))
 	h.book(s)
-	m.idle = 0
+	m.idleSince = 0
 }
--- a/internal/block/preempt.go
+++ b/internal/block/preempt.go
@@ -13,54 +13,55 @@
 )
 
 const (
-	// maxStops bounds the tasks that are stopped for others in one pass.
-	maxStops = 40
-	// settled is how long a task runs before it may be stopped for another: saving
-	// and starting again would cost as much as it did.
-	settled = 10 * time.Second
-	// saveSlack is added to the time that a task needs to save.
-	saveSlack = 2 * time.Second
+	// maxPreemptions bounds the tasks that are preempted in one pass.
+	maxPreemptions = 40
+	// minRunTime is how long a task must run before it may be preempted: saving and starting
+	// again would cost as much as a shorter run.
+	minRunTime = 10 * time.Second
+	// saveMargin is added to the time that a task needs to save.
+	saveMargin = 2 * time.Second
 )
 
-// yields tells whether a task may be stopped for work of a rank: it is of a lower one,
-// runs by itself, and loses nothing, since it saves what it has done.
-func (h *Holder) yields(s *slot, rank int, now core.Time) bool {
+// preemptible reports whether a task may be stopped for work of the given rank: its own rank
+// is lower, it is not part of a gang, it has run long enough, and it checkpoints, so that no
+// work is lost.
+func (h *Holder) preemptible(s *slot, rank int, now core.Time) bool {
 	j := h.jobs[s.task.Job]
-	return j != nil && s.state == present && s.stop == "" && s.view != api.TaskSaving && !j.gang() && j.spec.CheckpointS > 0 && j.rank < rank &&
-		(s.since == 0 || now.Sub(s.since) > settled)
+	return j != nil && s.state == present && s.stopRequest == "" && s.reportedState != api.TaskSaving && !j.gang() && j.spec.CheckpointS > 0 && j.rank < rank &&
+		(s.runningSince == 0 || now.Sub(s.runningSince) > minRunTime)
 }
 
-// end tells a task to save and exit.
-func (h *Holder) end(s *slot, reason stopReason) {
+// requestStop marks an attempt to be told to save and exit.
+func (h *Holder) requestStop(s *slot, reason stopReason) {
 	j := h.jobs[s.task.Job]
-	s.stop, s.grace = reason, j.spec.SaveS+saveSlack.Seconds()
+	s.stopRequest, s.graceS = reason, j.spec.SaveS+saveMargin.Seconds()
 }
 
-// preempt makes room for waiting work by stopping tasks of lower ranks that save what
-// they have done. Without it, idle-time work that had taken what was idle kept it for
-// minutes, and those who came then were late. jobs are those that still wait after the
-// pass, in its order; machines show what is free after it.
+// preempt makes room for waiting work by stopping checkpointing tasks of lower ranks. Without
+// it, idle-time work kept the machines that it had found free for minutes, and jobs that
+// arrived then started late. jobs are those that still wait after the pass, in its order;
+// machines show what is free after it.
 func (h *Holder) preempt(now core.Time, jobs []*placement.Job, machines []*placement.Machine, teams map[string]*placement.Team) {
-	lowest, ok := h.lowestThatSaves()
+	lowest, ok := h.lowestCheckpointingRank()
 	if !ok {
 		return
 	}
-	p := &preemption{h: h, now: now, machines: machines, room: map[core.MachineID]placement.Resources{}}
+	p := &preemption{h: h, now: now, machines: machines, free: map[core.MachineID]placement.Resources{}}
 	for _, m := range machines {
-		p.room[m.ID] = p.freeSoon(m)
+		p.free[m.ID] = p.freeAfterStops(m)
 	}
 	for _, j := range jobs {
-		n := h.wanted(j, teams[j.Team])
-		if n <= 0 || j.Failing || j.Rank <= lowest || p.stops >= maxStops {
+		n := h.startsWanted(j, teams[j.Team])
+		if n <= 0 || j.Failing || j.Rank <= lowest || p.stops >= maxPreemptions {
 			continue
 		}
-		p.makeRoom(j, n)
+		p.evictFor(j, n)
 	}
 }
 
-// lowestThatSaves is the lowest rank of an array that has tasks on machines and saves what
-// they have done; false if there is none below the top.
-func (h *Holder) lowestThatSaves() (rank int, ok bool) {
+// lowestCheckpointingRank returns the lowest rank among the arrays that have booked tasks and
+// checkpoint; ok is false if there is none below the top rank.
+func (h *Holder) lowestCheckpointingRank() (rank int, ok bool) {
 	rank = placement.TopRank
 	for _, j := range h.jobs {
 		if !j.gang() && j.spec.CheckpointS > 0 && !j.attempts.empty() {
@@ -70,36 +71,37 @@
 	return rank, rank < placement.TopRank
 }
 
-// preemption is the choice of tasks to stop after one pass.
+// preemption collects the attempts to stop after one pass.
 type preemption struct {
 	h        *Holder
 	now      core.Time
 	machines []*placement.Machine
-	// room is what is free on each machine once those that are told to stop have gone.
-	room  map[core.MachineID]placement.Resources
+	// free holds what will be free on each machine once the attempts that are told to stop
+	// have left.
+	free  map[core.MachineID]placement.Resources
 	stops int
 }
 
-// eviction is what has to be stopped on a machine for one more task there.
+// eviction lists the attempts to stop on a machine to make room for one more task there.
 type eviction struct {
 	machine core.MachineID
 	stops   []*slot
 }
 
-// freeSoon is what is free on a machine, or will be once those that are told to stop have
-// gone.
-func (p *preemption) freeSoon(m *placement.Machine) placement.Resources {
+// freeAfterStops returns what is free on a machine, counting the attempts that are told to
+// stop as gone.
+func (p *preemption) freeAfterStops(m *placement.Machine) placement.Resources {
 	free := m.Free()
 	for _, s := range p.h.machines[m.ID].slots {
-		if s.booked() && s.stop != "" {
-			free = free.Add(s.need)
+		if s.booked() && s.stopRequest != "" {
+			free = free.Add(s.resources)
 		}
 	}
 	return free
 }
 
-// makeRoom stops what it takes to start n tasks of a job; for a gang all or nothing.
-func (p *preemption) makeRoom(j *placement.Job, n int) {
+// evictFor stops what is necessary to start n tasks of a job; for a gang all n or none.
+func (p *preemption) evictFor(j *placement.Job, n int) {
 	zones := maps.Clone(j.TasksByZone)
 	if zones == nil {
 		zones = map[string]int{}
@@ -113,7 +115,7 @@
 		if m.Draining || m.GangReserved && !j.Gang && !j.GangMachinesOnly || j.ExcludedMachines[m.ID] || !j.Allows(m.Type, m.Zone, m.Spot) {
 			continue
 		}
-		found, free := p.evictions(j, m, zones, n-len(evictions))
+		found, free := p.findEvictions(j, m, zones, n-len(evictions))
 		if len(found) > 0 {
 			evictions, left[m.ID] = append(evictions, found...), free
 		}
@@ -121,96 +123,97 @@
 	if j.Gang && len(evictions) < n {
 		return
 	}
-	maps.Copy(p.room, left)
+	maps.Copy(p.free, left)
 	for _, e := range evictions {
 		for _, s := range e.stops {
-			p.h.Log.Info("task is stopped for work of a higher rank", "task", s.task.String(), "attempt", s.attempt, "machine", e.machine, "for", j.ID)
-			p.h.end(s, stopForHigher)
+			p.h.Log.Info("preempting task for work of a higher rank", "task", s.task.String(), "attempt", s.attempt, "machine", e.machine, "for", j.ID)
+			p.h.requestStop(s, stopPreempted)
 			p.stops++
 		}
 	}
 }
 
-// evictions finds what has to be stopped on a machine for up to n tasks of a job, and what
-// is free there afterwards. It counts the tasks in their zones.
-func (p *preemption) evictions(j *placement.Job, m *placement.Machine, zones map[string]int, n int) (found []eviction, free placement.Resources) {
-	free = p.room[m.ID]
+// findEvictions returns the evictions on a machine for up to n tasks of a job, and what is
+// free there afterwards. It adds the tasks to the counts of their zones.
+func (p *preemption) findEvictions(j *placement.Job, m *placement.Machine, zones map[string]int, n int) (found []eviction, free placement.Resources) {
+	free = p.free[m.ID]
 	var victims []*slot
-	for _, s := range p.h.machines[m.ID].list() {
-		if p.h.yields(s, j.Rank, p.now) {
+	for _, s := range p.h.machines[m.ID].orderedSlots() {
+		if p.h.preemptible(s, j.Rank, p.now) {
 			victims = append(victims, s)
 		}
 	}
-	// The least is lost with those that have run least since they began.
-	slices.SortStableFunc(victims, func(a, b *slot) int { return cmp.Compare(b.since, a.since) })
+	// Attempts that started last lose the least work.
+	slices.SortStableFunc(victims, func(a, b *slot) int { return cmp.Compare(b.runningSince, a.runningSince) })
 	for len(found) < n && j.AllowsZone(m.Zone, zones) {
-		stops, have := 0, free
-		for !j.Need.Fits(have) && stops < len(victims) {
-			have = have.Add(victims[stops].need)
+		stops, available := 0, free
+		for !j.Need.Fits(available) && stops < len(victims) {
+			available = available.Add(victims[stops].resources)
 			stops++
 		}
-		if !j.Need.Fits(have) {
+		if !j.Need.Fits(available) {
 			break
 		}
 		found = append(found, eviction{m.ID, victims[:stops]})
-		victims, free = victims[stops:], have.Sub(j.Need)
+		victims, free = victims[stops:], available.Sub(j.Need)
 		zones[m.Zone]++
 	}
 	return found, free
 }
 
-// wanted is how many tasks of a job should run beside those that do: all of work
-// within a guarantee, else as many as it takes to be in time; none if a larger job of its
-// team is next. Tasks were stopped for one that could not start, again and again.
-func (h *Holder) wanted(j *placement.Job, t *placement.Team) int {
+// startsWanted returns how many more tasks of a job should run: all waiting tasks of a job
+// within a guarantee, otherwise as many as it needs to be complete in time, and none while its
+// team's share is withheld for a larger job. Without that last rule, tasks were stopped again
+// and again for a job that could not start.
+func (h *Holder) startsWanted(j *placement.Job, t *placement.Team) int {
 	n := j.Waiting
 	if t == nil || n <= 0 || t.WithholdsFrom(j) {
 		return 0
 	}
 	if own := h.jobs[j.ID]; !j.Gang && !j.Guaranteed && len(j.Timing.Due) > 0 {
-		live := own.live()
-		n = min(n, capacity.Concurrency(own.spec.Tasks-own.done.Len(), j.Estimate, time.Duration(j.Timing.Due[0]-h.Loop.WallNow())*time.Millisecond)-live)
+		booked := own.bookedTasks()
+		n = min(n, capacity.Concurrency(own.spec.Tasks-own.done.Len(), j.Estimate, time.Duration(j.Timing.Due[0]-h.Loop.WallNow())*time.Millisecond)-booked)
 	}
-	room := t.Quota.Sub(t.Used)
+	quotaLeft := t.Quota.Sub(t.Used)
 	if j.Gang {
-		if !j.Need.Scale(float64(n)).FitsQuota(room) {
+		if !j.Need.Scale(float64(n)).FitsQuota(quotaLeft) {
 			return 0
 		}
 		return n
 	}
-	for n > 0 && !j.Need.Scale(float64(n)).FitsQuota(room) {
-		n = min(n-1, int(room.CPUs/max(j.Need.CPUs, 1e-9)))
+	for n > 0 && !j.Need.Scale(float64(n)).FitsQuota(quotaLeft) {
+		n = min(n-1, int(quotaLeft.CPUs/max(j.Need.CPUs, 1e-9)))
 	}
 	return n
 }
 
-// drain stops idle-time tasks on a machine that is asked back for others, if they save
-// what they have done. A machine went back only when the last of them had ended.
+// drain stops checkpointing idle-time tasks on a machine that has been marked as draining.
+// Otherwise the machine went back only when the last of them had ended.
 func (h *Holder) drain(m *machine, now core.Time) {
-	if !m.asked || h.state != placing {
+	if !m.draining || h.state != placing {
 		return
 	}
-	for _, s := range m.list() {
-		if j := h.jobs[s.task.Job]; h.yields(s, placement.Rank(api.RankStandard), now) && !capacity.TimeSensitive(h.Config.Objectives, j.spec) {
-			h.Log.Info("task is stopped, its machine is asked back", "task", s.task.String(), "attempt", s.attempt, "machine", m.id)
-			h.end(s, stopMachineDue)
+	for _, s := range m.orderedSlots() {
+		if j := h.jobs[s.task.Job]; h.preemptible(s, placement.Rank(api.RankStandard), now) && !capacity.TimeSensitive(h.Config.Objectives, j.spec) {
+			h.Log.Info("stopping task on a draining machine", "task", s.task.String(), "attempt", s.attempt, "machine", m.id)
+			h.requestStop(s, stopMachineRecalled)
 		}
 	}
 }
 
-// saveInTime tells tasks on a machine that the cloud takes back to save, as late as
-// possible. What they have done since they last saved by themselves would be lost.
-func (h *Holder) saveInTime(m *machine, now core.Time) {
-	if m.notice == 0 {
+// saveBeforeReclaim tells checkpointing tasks on a machine that the cloud takes back to save
+// and exit, as late as possible. Otherwise the work since their last checkpoint would be lost.
+func (h *Holder) saveBeforeReclaim(m *machine, now core.Time) {
+	if m.reclaimAt == 0 {
 		return
 	}
 	for _, s := range m.slots {
 		j := h.jobs[s.task.Job]
-		if j == nil || j.gang() || s.stop != "" || s.state != present || s.view != api.TaskRunning || j.spec.CheckpointS <= 0 {
+		if j == nil || j.gang() || s.stopRequest != "" || s.state != present || s.reportedState != api.TaskRunning || j.spec.CheckpointS <= 0 {
 			continue
 		}
-		if m.notice.Sub(now) < core.Seconds(j.spec.SaveS)+h.Config.Workers.Report*5/4+saveSlack {
-			h.end(s, stopMachineEnd)
+		if m.reclaimAt.Sub(now) < core.Seconds(j.spec.SaveS)+h.Config.Workers.Report*5/4+saveMargin {
+			h.requestStop(s, stopMachineReclaimed)
 		}
 	}
 }
--- a/internal/block/prompt.go
+++ b/internal/block/prompt.go
@@ -8,74 +8,74 @@
 	"lichenstair/internal/state"
 )
 
-// A start goes out only in the answer to a report, and the next report of a busy
-// machine may be seconds away. A worker that sees a higher term reports at once,
-// so a machine with a start planned is shown one, without orders. The terms come
-// from the one counter, allocated under the block's key: they are below that of any
-// later grant, and nobody else has them.
+// A start is sent only in the answer to a report, and the next report of a busy machine may be
+// seconds away. A worker that sees a higher term reports at once, so a machine with a planned
+// start is shown a higher term, without commands. These terms come from the single term
+// counter and are allocated under the block's key: they are lower than the term of any later
+// grant, and nobody else has them.
 
 const (
-	termStock       = 500
-	allocationPause = 2 * time.Second
-	// answerFlight is how long an answer may be on its way. Overtaken by a higher
-	// term, it is dropped by the worker, starts and all.
-	answerFlight = 500 * time.Millisecond
-	// worthPrompt is how far away a report must be to be worth asking for.
-	worthPrompt = 600 * time.Millisecond
+	termBatch          = 500
+	allocationInterval = 2 * time.Second
+	// answerTransit is how long an answer may be in flight. If a higher term overtakes it, the
+	// worker drops the answer with its starts.
+	answerTransit = 500 * time.Millisecond
+	// minPromptGain is how far away the next report must be for a prompt to be worthwhile.
+	minPromptGain = 600 * time.Millisecond
 )
 
-// allocateTerms fills the stock, if there is a machine for which none is high enough.
+// allocateTerms reserves more terms if a machine needs a higher one than are left.
 func (h *Holder) allocateTerms() {
-	if h.allocating || !h.reservedTerms.short {
+	if h.allocatingTerms || !h.reservedTerms.exhausted {
 		return
 	}
 	b, ok := h.Mirror.Blocks[h.number]
 	if !ok || b.Record.Term != h.term || b.Record.Holder != h.Host {
 		return
 	}
-	h.allocating = true
+	h.allocatingTerms = true
 	c := h.Mirror.Term
 	t := api.Txn{
 		If:   []api.Condition{{Key: state.KeyBlock(h.number), Version: uint64(b.Version)}, {Key: state.KeyTerm, Version: uint64(c.Version)}},
-		Then: []api.Change{state.Put(state.KeyTerm, state.TermCounter{Last: c.Record.Last + termStock})},
+		Then: []api.Change{state.Put(state.KeyTerm, state.TermCounter{Last: c.Record.Last + termBatch})},
 	}
 	h.State.TxnLowPriority(t, func(r state.Result) {
 		if r.Outcome == state.Applied {
-			h.reservedTerms.next, h.reservedTerms.last, h.reservedTerms.short = c.Record.Last+1, c.Record.Last+termStock, false
+			h.reservedTerms.next, h.reservedTerms.last, h.reservedTerms.exhausted = c.Record.Last+1, c.Record.Last+termBatch, false
 		}
-		// Otherwise the counter has moved on, or may have: what was allocated then is
-		// given up, and the mirror shows it before the next try.
-		h.Loop.After(allocationPause, func() { h.allocating = false })
+		// Otherwise the counter has changed, or may have: terms allocated by that write are
+		// abandoned, and the mirror shows the new counter before the next attempt.
+		h.Loop.After(allocationInterval, func() { h.allocatingTerms = false })
 	})
 }
 
-// prompt shows a machine for which a start is planned a higher term, if its next
-// report is far away. Workers heed that once in half a lease.
+// prompt shows a higher term to a machine with a planned start whose next report is far away.
+// Workers act on this once per half a lease.
 func (h *Holder) prompt(m *machine) {
 	now := h.Loop.Now()
 	w := h.Config.Workers
-	if m.held != nil || m.asking || m.addr == "" || m.season == 0 || now.Sub(m.prompted) < w.Lease/2 || now.Sub(m.answered) < answerFlight ||
-		m.reported.Add(w.Report*3/4).Sub(now) < worthPrompt || !h.startable(m) {
+	if m.heldReport != nil || m.queryInFlight || m.addr == "" || m.session == 0 || now.Sub(m.lastPrompt) < w.Lease/2 || now.Sub(m.lastAnswer) < answerTransit ||
+		m.lastReport.Add(w.Report*3/4).Sub(now) < minPromptGain || !h.hasSendableStart(m) {
 		return
 	}
-	if h.reservedTerms.next > h.reservedTerms.last || h.reservedTerms.next <= h.termOf(m) {
-		h.reservedTerms.short = true
+	if h.reservedTerms.next > h.reservedTerms.last || h.reservedTerms.next <= h.commandTerm(m) {
+		h.reservedTerms.exhausted = true
 		return
 	}
-	m.prompted, m.term = now, h.reservedTerms.next
+	m.lastPrompt, m.term = now, h.reservedTerms.next
 	h.reservedTerms.next++
-	m.asking = true
-	h.Workers.Fence(m.addr, m.term, m.season, func(rep *api.Report) {
-		m.asking = false
+	m.queryInFlight = true
+	h.Workers.Fence(m.addr, m.term, m.session, func(rep *api.Report) {
+		m.queryInFlight = false
 		if rep != nil && h.state != released && h.machines[m.id] == m && core.MachineID(rep.Machine) == m.id {
-			h.take(m, rep, evidence{fromAnswer, now})
+			h.applyMessage(m, rep, origin{fromAnswer, now})
 		}
 	})
 }
 
-// startable tells whether a start is planned that may be sent.
-func (h *Holder) startable(m *machine) bool {
-	if !h.ready(m) {
+// hasSendableStart reports whether a start is planned on the machine and may be sent.
+func (h *Holder) hasSendableStart(m *machine) bool {
+	if !h.acceptsStarts(m) {
 		return false
 	}
 	for _, s := range m.slots {
--- a/internal/block/reasons.go
+++ b/internal/block/reasons.go
@@ -7,92 +7,94 @@
 	"lichenstair/internal/core"
 )
 
-// source is the kind of message by which a holder learns what is on a machine.
+// source is the kind of message from which a holder learns what is on a machine.
 type source string
 
 const (
-	// fromReport is a worker's report, kept back for its answer or not.
+	// fromReport is a report that the worker sent by itself, whether or not its answer is held
+	// back.
 	fromReport source = "report"
-	// fromAnswer is a worker's answer to a question or to a direct command.
+	// fromAnswer is a worker's answer to a query or to a direct command.
 	fromAnswer source = "answer"
 )
 
-// evidence is where knowledge about a machine comes from, and of when it is at least.
-type evidence struct {
+// origin tells where a message came from and how old its content can be at most.
+type origin struct {
 	source source
-	// asked is when the message was asked for (answer) or received (report).
-	asked core.Time
+	// asOf is when the message was requested (answer) or received (report).
+	asOf core.Time
 }
 
-// messageResult is what became of a worker's message.
+// messageResult is the outcome of handling a worker's message.
 type messageResult string
 
 const (
 	messageTaken       messageResult = "taken"
-	messageOld         messageResult = "older than what is known"
+	messageStale       messageResult = "older than what is known"
 	messageLateCopy    messageResult = "late copy"
 	messageNotEntitled messageResult = "not entitled to answer"
-	messageOverruled   messageResult = "under a higher term"
-	messageUnheard     messageResult = "machine does not hear us"
+	messageHigherTerm  messageResult = "under a higher term"
+	messageTermUnseen  messageResult = "machine does not hear us"
 )
 
-// stopReason is why an attempt is told to stop; empty: it is not.
+// stopReason is why an attempt is told to stop; empty if it is not.
 type stopReason string
 
 const (
 	stopUnknownJob  stopReason = "job unknown"
 	stopJobOver     stopReason = "job over"
 	stopCancelled   stopReason = "job cancelled"
-	stopNotOurs     stopReason = "job of another block"
+	stopOtherBlock  stopReason = "job of another block"
 	stopUnknownTask stopReason = "task unknown"
-	// stopTaskDone is mostly said of an attempt that an old report showed and that is gone.
-	stopTaskDone   stopReason = "task done"
-	stopSuperseded stopReason = "superseded"
-	stopGangBroken stopReason = "gang not whole"
-	stopForHigher  stopReason = "work of a higher rank"
-	stopMachineDue stopReason = "machine asked back"
-	stopMachineEnd stopReason = "machine taken by the cloud"
+	// stopTaskDone mostly concerns an attempt that an old report showed and that has ended
+	// since.
+	stopTaskDone         stopReason = "task done"
+	stopSuperseded       stopReason = "superseded"
+	stopGangBroken       stopReason = "gang not whole"
+	stopPreempted        stopReason = "work of a higher rank"
+	stopMachineRecalled  stopReason = "machine asked back"
+	stopMachineReclaimed stopReason = "machine taken by the cloud"
 )
 
 // releaseReason is why an attempt counts as off its machine.
 type releaseReason string
 
 const (
-	releaseNotShown    releaseReason = "not shown any more"
-	releaseNotExecuted releaseReason = "start was not executed"
-	releaseNewSession  releaseReason = "worker's lease ran out"
-	releaseLapsed      releaseReason = "lease surely ran out"
-	releaseReturned    releaseReason = "returned to the cloud"
-	releaseLeft        releaseReason = "machine left the block"
-	releasePlanDropped releaseReason = "plan dropped"
+	releaseNotShown        releaseReason = "not shown any more"
+	releaseNotExecuted     releaseReason = "start was not executed"
+	releaseNewSession      releaseReason = "worker's lease ran out"
+	releaseLeaseExpired    releaseReason = "lease surely ran out"
+	releaseMachineReturned releaseReason = "returned to the cloud"
+	releaseMachineLeft     releaseReason = "machine left the block"
+	releasePlanDropped     releaseReason = "plan dropped"
 )
 
-// lost tells whether a release for this reason may have cost a task its work.
-func (r releaseReason) lost() bool { return r != releaseNotShown && r != releasePlanDropped }
+// mayLoseWork reports whether a release for this reason may have cost a task its progress.
+func (r releaseReason) mayLoseWork() bool { return r != releaseNotShown && r != releasePlanDropped }
 
-// noteMessage counts a worker's message and logs what became of it.
-func (h *Holder) noteMessage(m *machine, from source, result messageResult, season core.Session, tally core.Sequence) {
+// noteMessage counts a worker's message and logs it if it was not accepted.
+func (h *Holder) noteMessage(m *machine, from source, result messageResult, session core.Session, sequence core.Sequence) {
 	h.Metrics.WorkerMessages.WithLabelValues(string(from), string(result)).Inc()
 	if result != messageTaken {
-		h.Log.Debug("message of a worker is not taken in", "machine", m.id, "source", from, "result", result, "season", season, "tally", tally, "known_season", m.season, "known_tally", m.tally)
+		h.Log.Debug("worker message ignored", "machine", m.id, "source", from, "result", result, "session", session, "sequence", sequence, "known_session", m.session, "known_sequence", m.sequence)
 	}
 }
 
-// noteLearnt counts and logs an attempt that a message showed and nobody told us of. Two
-// attempts of a task at a time are worth a line at any level: one of them is gone already,
-// or a rule is broken.
-func (h *Holder) noteLearnt(s *slot, from evidence, others []*slot) {
+// noteDiscovered counts and logs an attempt that the holder did not start and learnt of from a
+// message. Two booked attempts of one task are logged at info level: either one of them has
+// already ended, or an invariant is violated.
+func (h *Holder) noteDiscovered(s *slot, from origin, others []*slot) {
 	h.Metrics.Discovered.WithLabelValues(string(from.source)).Inc()
 	attributes := []any{
 		"task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "state", s.state.String(),
-		"source", from.source, "season", s.machine.season, "tally", s.machine.tally, "fenced", s.machine.fenced,
+		"source", from.source, "session", s.machine.session, "sequence", s.machine.sequence, "fenced", s.machine.fenced,
 	}
 	if !s.booked() || len(others) == 0 {
-		h.Log.Debug("attempt is learnt", attributes...)
+		h.Log.Debug("attempt discovered", attributes...)
 		return
 	}
 	h.Metrics.Duplicates.Inc()
-	h.Log.Info("two attempts of a task are known", append(attributes, "other_attempt", others[0].attempt, "other_machine", others[0].machine.id, "other_state", others[0].state.String())...)
+	h.Log.Info("task has two attempts", append(attributes, "other_attempt", others[0].attempt, "other_machine", others[0].machine.id, "other_state", others[0].state.String())...)
 }
 
 // noteStop counts and logs that an attempt is told to stop.
@@ -102,11 +104,11 @@
 	if reason == stopSuperseded || reason == stopGangBroken {
 		level = slog.LevelInfo
 	}
-	h.Log.Log(context.Background(), level, "task is told to stop", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "reason", reason, "grace_s", s.grace)
+	h.Log.Log(context.Background(), level, "stop command sent", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "reason", reason, "grace_s", s.graceS)
 }
 
-// noteStart counts and logs a start, with what it rests on.
+// noteStart counts and logs a start, with the state on which the decision was based.
 func (h *Holder) noteStart(s *slot) {
 	h.Metrics.Starts.Inc()
-	h.Log.Debug("start is sent", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "term", h.termOf(s.machine), "season", s.sentSeason, "tally", s.sentTally, "revision", h.Mirror.Revision())
+	h.Log.Debug("start command sent", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "term", h.commandTerm(s.machine), "session", s.sentSession, "sequence", s.sentSequence, "revision", h.Mirror.Revision())
 }
--- a/internal/block/recovery.go
+++ b/internal/block/recovery.go
@@ -5,58 +5,58 @@
 	"lichenstair/internal/core"
 )
 
-// fence shows our term to a machine and asks what is on it.
+// fence shows our term to a machine and asks what is running on it.
 func (h *Holder) fence(m *machine) {
-	if m.asking || m.fenced && !m.unreachable || m.addr == "" || h.state == released {
+	if m.queryInFlight || m.fenced && !m.unreachable || m.addr == "" || h.state == released {
 		return
 	}
-	m.asking = true
-	asked := h.Loop.Now()
-	var done func(rep *api.Report, again bool)
-	done = func(rep *api.Report, again bool) {
-		m.asking = false
+	m.queryInFlight = true
+	askedAt := h.Loop.Now()
+	var done func(rep *api.Report, inspected bool)
+	done = func(rep *api.Report, inspected bool) {
+		m.queryInFlight = false
 		if h.state == released || h.machines[m.id] != m {
 			return
 		}
 		if rep == nil || core.MachineID(rep.Machine) != m.id {
-			// A question to a machine that is gone hangs for seconds. Asked
-			// without a pause, a zone of them took up every call there is, and
-			// recovery waited for machines that would have answered at once.
-			m.askNext = h.Loop.Now().Add(min(askPause<<min(m.unheeded, 8), maxAskPause))
-			m.unheeded++
+			// A query to a machine that is gone hangs for seconds. Without a pause between
+			// queries, a zone of such machines used up all concurrent calls, and recovery
+			// waited for machines that would have answered at once.
+			m.nextQuery = h.Loop.Now().Add(min(queryBackoff<<min(m.failedQueries, 8), maxQueryBackoff))
+			m.failedQueries++
 			return
 		}
-		m.unheeded = 0
-		h.take(m, rep, evidence{fromAnswer, asked})
-		if again && core.Session(rep.Session) > m.floor && core.Term(rep.Term) < h.termOf(m) {
-			// A worker that sees a higher term reports at once, and so comes to
-			// us, instead of with its next report some seconds later.
-			h.show(m, done)
+		m.failedQueries = 0
+		h.applyMessage(m, rep, origin{fromAnswer, askedAt})
+		if inspected && core.Session(rep.Session) > m.ignoredThrough && core.Term(rep.Term) < h.commandTerm(m) {
+			// A worker that sees a higher term reports at once, and so reaches this holder now
+			// instead of with its next report some seconds later.
+			h.showTerm(m, done)
 		}
 		h.checkRecovered()
 	}
-	if m.season == 0 {
+	if m.session == 0 {
 		h.Workers.Inspect(m.addr, func(rep *api.Report) { done(rep, true) })
 		return
 	}
-	h.show(m, done)
+	h.showTerm(m, done)
 }
 
-// show shows a machine the term under which it is commanded.
-func (h *Holder) show(m *machine, done func(rep *api.Report, again bool)) {
-	m.asking = true
-	h.Workers.Fence(m.addr, h.termOf(m), m.season, func(rep *api.Report) { done(rep, false) })
+// showTerm shows a machine the term under which it is commanded.
+func (h *Holder) showTerm(m *machine, done func(rep *api.Report, inspected bool)) {
+	m.queryInFlight = true
+	h.Workers.Fence(m.addr, h.commandTerm(m), m.session, func(rep *api.Report) { done(rep, false) })
 }
 
-// checkRecovered starts to place once every machine is accounted for.
+// checkRecovered starts the placement once every machine is accounted for.
 func (h *Holder) checkRecovered() {
 	if h.state != recovering {
 		return
 	}
 	for _, m := range h.machines {
-		if m.up && !m.fenced && m.state != lapsed {
+		if m.inUse && !m.fenced && m.state != lapsed {
 			return
 		}
 	}
-	h.become(placing)
+	h.setState(placing)
 }
--- a/internal/block/reports.go
+++ b/internal/block/reports.go
@@ -9,159 +9,163 @@
 	"lichenstair/internal/placement"
 )
 
-// lateCopy tells whether a report was sent long ago. A worker gives a report up
-// after a while, so one that is in flight can be older only than a message that
-// we have had since. A late copy must neither show a machine alive nor count as
-// answered: copies that kept coming put off the time at which the lease of a
-// dead machine had surely run out.
+// lateCopy reports whether a report is a copy that was delivered long after it was sent. A
+// worker gives up on a report after a while, so a report still in flight can be older only
+// than a message received since then. A late copy must neither prove a machine alive nor count
+// as answered: repeated copies postponed the proven expiry of a dead machine's lease.
 func (h *Holder) lateCopy(m *machine, rep *api.Report, now core.Time) bool {
-	return m.season > 0 && !core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), m.season, m.tally) &&
-		now > m.heard.Add(core.WithDrift(answerDrop)+margin)
+	return m.session > 0 && !core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), m.session, m.sequence) &&
+		now > m.lastMessage.Add(core.WithDrift(answerTimeout)+timingMargin)
 }
 
-// expected estimates how long a task will be on a machine.
-func (h *Holder) expected(s *slot, m *machine) time.Duration {
+// expectedDuration estimates how long a task will be on a machine, fetching its image
+// included.
+func (h *Holder) expectedDuration(s *slot, m *machine) time.Duration {
 	j := h.jobs[s.task.Job]
 	if j == nil {
 		return 0
 	}
 	d := j.estimate()
 	if !m.images[j.spec.Image] {
-		if t, ok := h.Types()[m.typ]; ok && t.FetchGBPerS > 0 {
+		if t, ok := h.Types()[m.machineType]; ok && t.FetchGBPerS > 0 {
 			d += core.Seconds(j.spec.ImageGB / t.FetchGBPerS)
 		}
 	}
 	return d
 }
 
-// take brings what we know of a machine in line with a message of its worker. It tells
-// whether the message was news.
-func (h *Holder) take(m *machine, rep *api.Report, from evidence) bool {
+// applyMessage updates the state of a machine from a message of its worker. It reports whether
+// the message was newer than what was known.
+func (h *Holder) applyMessage(m *machine, rep *api.Report, from origin) bool {
 	now := h.Loop.Now()
-	season, tally := core.Session(rep.Session), core.Sequence(rep.Sequence)
-	if season <= m.floor || !core.Newer(season, tally, m.season, m.tally) {
-		h.noteMessage(m, from.source, messageOld, season, tally)
+	session, sequence := core.Session(rep.Session), core.Sequence(rep.Sequence)
+	if session <= m.ignoredThrough || !core.Newer(session, sequence, m.session, m.sequence) {
+		h.noteMessage(m, from.source, messageStale, session, sequence)
 		return false
 	}
-	h.noteMessage(m, from.source, messageTaken, season, tally)
-	if season > m.season {
-		h.takeNewSeason(m)
+	h.noteMessage(m, from.source, messageTaken, session, sequence)
+	if session > m.session {
+		h.applyNewSession(m)
 	}
-	m.season, m.tally, m.heard = season, tally, now
-	if from.source == fromAnswer && (m.reported == 0 || now.Sub(m.reported) < h.quiet()) {
-		// It answered a command. One whose reports reach nobody gets no work either: it
-		// cannot be told to start it, and was planned for again and again.
+	m.session, m.sequence, m.lastMessage = session, sequence, now
+	if from.source == fromAnswer && (m.lastReport == 0 || now.Sub(m.lastReport) < h.silenceTimeout()) {
+		// The machine answered a command. A machine whose reports arrive nowhere stays
+		// unreachable: starts are sent in answers to reports, and it was planned for again and
+		// again without a way to start anything.
 		h.setUnreachable(m, false)
 	}
-	h.takeNotice(m, rep.NoticeS)
-	h.takeTasks(m, rep, from)
+	h.applyReclaimNotice(m, rep.NoticeS)
+	h.applyTasks(m, rep, from)
 	if core.Term(rep.Term) >= h.term && !m.fenced {
-		// It has seen our term: no command of an earlier holder counts any more.
+		// The worker has seen our term, so commands of earlier holders no longer have an
+		// effect.
 		m.fenced = true
-		m.unheard = 0
-		m.answer = now
+		m.termUnseenSince = 0
+		m.lastRenewal = now
 		h.dirty = true
 		h.Log.Debug("machine accounted for", "machine", m.id)
 	}
 	if m.fenced {
-		h.moveMachine(m, live)
+		h.setMachineState(m, live)
 	} else if m.state == booting || m.state == lapsed {
-		h.moveMachine(m, unsure)
+		h.setMachineState(m, unsure)
 	}
 	return true
 }
 
-// takeNewSeason takes in that the worker has begun a new session: it has killed and
-// forgotten everything of earlier ones, and drops answers to reports of those.
-func (h *Holder) takeNewSeason(m *machine) {
-	answered := h.Loop.Now().Sub(m.answer) < h.Config.Workers.Lease/2
-	if m.fenced && m.season > 0 && m.state == live && answered {
-		// Its lease ran out though we answered its reports.
+// applyNewSession handles the start of a new worker session: the worker has killed and
+// forgotten everything of earlier sessions, and drops answers to their reports.
+func (h *Holder) applyNewSession(m *machine) {
+	answered := h.Loop.Now().Sub(m.lastRenewal) < h.Config.Workers.Lease/2
+	if m.fenced && m.session > 0 && m.state == live && answered {
+		// The lease ran out although we answered the machine's reports.
 		h.setUnreachable(m, true)
 	}
-	for _, s := range m.list() {
+	for _, s := range m.orderedSlots() {
 		if s.state != planned {
-			h.setOff(s, releaseNewSession)
+			h.releaseAttempt(s, releaseNewSession)
 		}
 	}
 	m.images = map[string]bool{}
-	m.recent = nil
+	m.recentImages = nil
 }
 
-// takeNotice takes in that the cloud takes the machine back in so many seconds (nil: no).
-func (h *Holder) takeNotice(m *machine, seconds *float64) {
+// applyReclaimNotice records that the cloud takes the machine back in the given number of
+// seconds (nil: it does not).
+func (h *Holder) applyReclaimNotice(m *machine, seconds *float64) {
 	if seconds == nil {
 		return
 	}
-	if m.notice == 0 {
-		h.Log.Info("the cloud takes a machine back", "machine", m.id, "in_s", *seconds)
+	if m.reclaimAt == 0 {
+		h.Log.Info("cloud reclaims machine", "machine", m.id, "in_s", *seconds)
 		h.dirty = true
 	}
-	m.notice = h.Loop.Now().Add(core.Seconds(max(*seconds, 0))) + 1
+	m.reclaimAt = h.Loop.Now().Add(core.Seconds(max(*seconds, 0))) + 1
 }
 
-// takeTasks takes in the tasks of a report: what it shows, and what it proves to be off the
-// machine by not showing it.
-func (h *Holder) takeTasks(m *machine, rep *api.Report, from evidence) {
+// applyTasks handles the tasks of a report: those that it shows, and those proven to be off
+// the machine because it does not show them.
+func (h *Holder) applyTasks(m *machine, rep *api.Report, from origin) {
 	shown := map[slotKey]bool{}
-	// What is on the machine is taken in before what has left it, so that nothing is missing
-	// from the picture in between.
+	// Attempts on the machine are handled before those that have exited, so that no task
+	// appears to be without an attempt in between.
 	for _, exited := range []bool{false, true} {
-		for _, view := range rep.Tasks {
-			if (view.State == api.TaskExited) != exited {
+		for _, status := range rep.Tasks {
+			if (status.State == api.TaskExited) != exited {
 				continue
 			}
-			id, err := core.ParseTaskID(view.Task)
+			id, err := core.ParseTaskID(status.Task)
 			if err != nil {
 				continue
 			}
-			key := slotKey{id, core.Attempt(view.Attempt)}
+			key := slotKey{id, core.Attempt(status.Attempt)}
 			shown[key] = true
-			h.see(m, key, view, from)
+			h.applyTask(m, key, status, from)
 		}
 	}
-	for _, s := range m.list() {
+	for _, s := range m.orderedSlots() {
 		switch {
 		case shown[s.slotKey] || s.state == planned:
 		case s.state != starting:
-			h.setOff(s, releaseNotShown)
-		case h.startSettled(s, rep, from):
+			h.releaseAttempt(s, releaseNotShown)
+		case h.startNotExecuted(s, rep, from):
 			if from.source == fromReport {
 				h.setUnreachable(m, true)
 			}
-			h.setOff(s, releaseNotExecuted)
+			h.releaseAttempt(s, releaseNotExecuted)
 		}
 	}
 }
 
-// startSettled tells whether a message that does not show a start proves that it was not
-// executed. A start sent in an answer is settled by the next report, since a worker has one
-// report in flight; a direct message says so only once the answer would have been dropped.
-func (h *Holder) startSettled(s *slot, rep *api.Report, from evidence) bool {
-	if from.source == fromReport && core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), s.sentSeason, s.sentTally) {
+// startNotExecuted reports whether a message that does not show a start proves that the start
+// was not executed. A start sent in an answer is decided by the next report, since a worker
+// has one report in flight at a time; an answer to a direct query proves it only if it was
+// requested after the worker would have dropped our answer.
+func (h *Holder) startNotExecuted(s *slot, rep *api.Report, from origin) bool {
+	if from.source == fromReport && core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), s.sentSession, s.sentSequence) {
 		return true
 	}
-	return from.asked > s.sentAt.Add(core.WithDrift(answerDrop)+margin)
+	return from.asOf > s.sentAt.Add(core.WithDrift(answerTimeout)+timingMargin)
 }
 
-// setUnreachable notes whether what we say reaches a machine. One that reports but does
-// not act on the answers gets no work until it has answered a command; else its
-// starts were lost again and again, each with a lease.
+// setUnreachable records whether our answers reach a machine. A machine that reports but does
+// not act on the answers gets no work until it has answered a command; otherwise start after
+// start was lost on it, each for the length of a lease.
 func (h *Holder) setUnreachable(m *machine, unreachable bool) {
 	if m.unreachable == unreachable {
 		return
 	}
-	h.Log.Info("machine hears us", "machine", m.id, "hears", !unreachable)
+	h.Log.Info("machine reachability changed", "machine", m.id, "reachable", !unreachable)
 	m.unreachable, m.unreachableSince = unreachable, h.Loop.Now()
 	h.dirty = true
 	if unreachable {
-		h.cancelPlans(m)
+		h.dropMachinePlans(m)
 		h.fence(m)
 	}
 }
 
-// see takes in one task of a report.
-func (h *Holder) see(m *machine, key slotKey, view api.TaskStatus, from evidence) {
+// applyTask handles one task of a report.
+func (h *Holder) applyTask(m *machine, key slotKey, status api.TaskStatus, from origin) {
 	j := h.jobs[key.task.Job]
 	if j != nil && key.task.Index >= j.spec.Tasks {
 		j = nil
@@ -169,35 +173,35 @@
 	s := m.slots[key]
 	switch {
 	case s == nil:
-		s = h.discover(m, key, view, j, from)
+		s = h.discover(m, key, status, j, from)
 	case s.state == exited:
 		return
 	}
-	s.view = view.State
+	s.reportedState = status.State
 	if j != nil {
-		h.noteRun(s, j)
+		h.noteProgress(s, j)
 	}
-	if view.State == api.TaskExited {
-		h.takeExit(s, j, view)
+	if status.State == api.TaskExited {
+		h.applyExit(s, j, status)
 		return
 	}
-	h.moveSlot(s, present)
+	h.setSlotState(s, present)
 	if j != nil {
-		j.seen = true
+		j.reported = true
 	}
 }
 
-// discover books an attempt that a report shows and nobody told us of.
-func (h *Holder) discover(m *machine, key slotKey, view api.TaskStatus, j *job, from evidence) *slot {
+// discover books an attempt that a report shows and that this holder did not start.
+func (h *Holder) discover(m *machine, key slotKey, status api.TaskStatus, j *job, from origin) *slot {
 	now := h.Loop.Now()
-	s := &slot{slotKey: key, machine: m, state: present, ends: now}
+	s := &slot{slotKey: key, machine: m, state: present, expectedEnd: now}
 	if e := h.Mirror.Jobs[key.task.Job]; e != nil {
-		s.team, s.need = e.Team, placement.Resources{CPUs: e.CPUs, GPUs: e.GPUs, MemoryGB: e.MemoryGB}
+		s.team, s.resources = e.Team, placement.Resources{CPUs: e.CPUs, GPUs: e.GPUs, MemoryGB: e.MemoryGB}
 	}
 	if j != nil {
-		s.ends = now.Add(h.expected(s, m))
+		s.expectedEnd = now.Add(h.expectedDuration(s, m))
 	}
-	if view.State == api.TaskExited {
+	if status.State == api.TaskExited {
 		s.state = exited
 	}
 	var others []*slot
@@ -206,66 +210,68 @@
 	}
 	h.book(s)
 	h.dirty = true
-	h.noteLearnt(s, from, others)
+	h.noteDiscovered(s, from, others)
 	if j != nil && s.booked() {
-		h.dropPlansFor(j, key.task.Index)
+		h.dropTaskPlans(j, key.task.Index)
 	}
 	return s
 }
 
-// dropPlansFor drops the plans for a task that already runs somewhere.
-func (h *Holder) dropPlansFor(j *job, task int) {
+// dropTaskPlans drops the planned starts of a task that is already on a machine.
+func (h *Holder) dropTaskPlans(j *job, task int) {
 	for _, s := range slices.Clone(j.attempts.byTask[task]) {
 		if s.state == planned {
-			h.setOff(s, releasePlanDropped)
+			h.releaseAttempt(s, releasePlanDropped)
 		}
 	}
 }
 
-// noteRun follows that an attempt has its image, and since when it runs.
-func (h *Holder) noteRun(s *slot, j *job) {
-	if s.view != api.TaskRunning && s.view != api.TaskGathering && s.view != api.TaskSaving {
+// noteProgress records that an attempt has its image, and when it was first seen running.
+func (h *Holder) noteProgress(s *slot, j *job) {
+	if s.reportedState != api.TaskRunning && s.reportedState != api.TaskGathering && s.reportedState != api.TaskSaving {
 		return
 	}
-	s.machine.sawImage(j.spec.Image)
-	if s.since == 0 && s.view == api.TaskRunning {
-		h.Log.Debug("task runs", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id)
-		s.since = h.Loop.Now()
-		s.ends = s.since.Add(j.estimate())
+	s.machine.noteImage(j.spec.Image)
+	if s.runningSince == 0 && s.reportedState == api.TaskRunning {
+		h.Log.Debug("task running", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id)
+		s.runningSince = h.Loop.Now()
+		s.expectedEnd = s.runningSince.Add(j.estimate())
 	}
 }
 
-// takeExit takes in that an attempt has ended. j is nil if its job is not ours to finish.
-func (h *Holder) takeExit(s *slot, j *job, view api.TaskStatus) {
-	s.cause = view.Cause
+// applyExit handles an attempt that has ended. j is nil if its job is not placed by this
+// holder.
+func (h *Holder) applyExit(s *slot, j *job, status api.TaskStatus) {
+	s.exitCause = status.Cause
 	h.dirty = true
-	if j != nil && view.Cause == api.CauseDone {
-		h.takeDone(s, j)
+	if j != nil && status.Cause == api.CauseDone {
+		h.applyCompletion(s, j)
 	}
-	// What is done is noted before: its task must not wait again.
-	h.moveSlot(s, exited)
-	if j != nil && view.Cause != api.CauseDone {
-		h.Log.Info("task ended without completing", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "cause", view.Cause, "saved", view.Saved)
-		h.blame(s.machine, j, view.Cause)
+	// The completion is recorded first, so that the task does not wait again.
+	h.setSlotState(s, exited)
+	if j != nil && status.Cause != api.CauseDone {
+		h.Log.Info("task ended without completing", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "cause", status.Cause, "saved", status.Saved)
+		h.recordFailure(s.machine, j, status.Cause)
 	}
 }
 
-// takeDone takes in that an attempt has completed its task.
-func (h *Holder) takeDone(s *slot, j *job) {
-	s.machine.fails = 0
-	h.acquit(j)
-	h.finish(j, s.task.Index)
+// applyCompletion handles an attempt that has completed its task.
+func (h *Holder) applyCompletion(s *slot, j *job) {
+	s.machine.failures = 0
+	h.clearFailures(j)
+	h.markDone(j, s.task.Index)
 	if j.gang() {
 		// A gang completes together: if one task is done, all are.
 		for i := range j.spec.Tasks {
-			h.finish(j, i)
+			h.markDone(j, i)
 		}
 	}
 }
 
-// unsettled tells whether a write about a machine, sent under a version of its
-// part, may still be carried out. After one that calls it unused, a start would be
-// unknown to a later holder; after one that releases it, so would all planned there.
-func (h *Holder) unsettled(m *machine, sent core.Revision) bool {
+// writePending reports whether a write about a machine that was based on the given version of
+// its inventory part may still take effect. After a write that marks the machine as unused, a
+// later holder would not know of a start; after one that moves the machine to the pool, it
+// would not know of anything planned there.
+func (h *Holder) writePending(m *machine, sent core.Revision) bool {
 	return sent != 0 && sent == h.Mirror.Inventory(h.number).VersionOf(m.id)
 }
--- a/internal/block/slot.go
+++ b/internal/block/slot.go
@@ -5,46 +5,49 @@
 	"lichenstair/internal/placement"
 )
 
-// slotState is the state of a task's place on a machine.
+// slotState is the state of an attempt on its machine.
 type slotState int
 
 const (
-	planned  slotState = iota // chosen, no start command sent
+	planned  slotState = iota // chosen; no start command sent yet
 	starting                  // a start command was sent and may be executed
-	present                   // the worker reports it, not exited
-	exited                    // the worker reports that it has ended
-	off                       // no longer on the machine, proven
+	present                   // reported by the worker, not exited
+	exited                    // reported by the worker as ended
+	off                       // proven to be no longer on the machine
 )
 
 func (s slotState) String() string {
 	return [...]string{"planned", "starting", "present", "exited", "off"}[s]
 }
 
+// slotKey identifies an attempt of a task.
 type slotKey struct {
 	task    core.TaskID
 	attempt core.Attempt
 }
 
-// slot is one attempt of a task on a machine. It is booked until it is off or
-// exited.
+// slot is one attempt of a task on a machine. It is booked until it has exited or is proven to
+// be off the machine.
 type slot struct {
 	slotKey
-	state   slotState
-	machine *machine
-	team    string
-	need    placement.Resources
-	view    string // state as reported
-	cause   string
-
-	sentAt     core.Time
-	sentSeason core.Session
-	sentTally  core.Sequence
-
-	ends    core.Time  // by estimate
-	stop    stopReason // why it is to be stopped, also if its job goes on
-	stopped core.Time  // when the first stop was sent; 0: none
-	grace   float64
-	since   core.Time // when it was first seen running
+	state         slotState
+	machine       *machine
+	team          string
+	resources     placement.Resources
+	reportedState string // state as reported by the worker
+	exitCause     string
+
+	sentAt core.Time // when the start command was sent
+	// sentSession and sentSequence identify the report in whose answer the start was sent.
+	sentSession  core.Session
+	sentSequence core.Sequence
+
+	expectedEnd  core.Time  // estimated
+	stopRequest  stopReason // why it has to stop even though its job goes on
+	stopSentAt   core.Time  // when the first stop was sent; 0: none
+	graceS       float64    // time to save, in seconds
+	runningSince core.Time  // when it was first seen running
 }
 
+// booked reports whether the attempt may be on its machine or is planned for it.
 func (s *slot) booked() bool { return s.state != exited && s.state != off }
