--- a/internal/block/candidates.go
+++ b/internal/block/candidates.go
@@ -13,7 +13,7 @@
 
 // deferArrays chooses, for each team, the arrays to defer if not all of its arrays can be
 // complete in time. A team can use what its arrays hold plus what is free, or its guarantee if
-// that is more, up to its limit.
+// that is more, up to its limit less what its gangs hold.
 func (h *Holder) deferArrays(jobs []*placement.Job, machines []*placement.Machine, teams map[string]*placement.Team) {
 	free := 0.0
 	for _, m := range machines {
@@ -29,22 +29,22 @@
 			withDueTime[j.Team] = append(withDueTime[j.Team], j)
 		}
 	}
-	booked := map[string]float64{}
-	running := map[string]float64{}
+	booked := map[string]float64{}    // CPUs booked by arrays, by team
+	otherWork := map[string]float64{} // CPU seconds of work left in arrays that are not candidates, by team
 	for _, j := range h.jobs {
 		if j.gang() {
 			continue
 		}
 		booked[j.spec.Team] += j.resources.CPUs * float64(j.bookedTasks())
 		if !listed[j.id] {
-			running[j.spec.Team] += j.remainingWork()
+			otherWork[j.spec.Team] += j.remainingWork()
 		}
 	}
 	for _, t := range h.Mirror.Teams(h.Config.Teams) {
 		team := teams[t.Name]
 		cpus := min(max(booked[t.Name]+free, t.CPUs), t.CPUsMax-(team.Used.CPUs-booked[t.Name]))
-		placement.Defer(h.Loop.WallNow(), cpus, running[t.Name], withDueTime[t.Name])
-		placement.OrderByDue(h.Loop.WallNow(), cpus, running[t.Name], withDueTime[t.Name])
+		placement.Defer(h.Loop.WallNow(), cpus, otherWork[t.Name], withDueTime[t.Name])
+		placement.OrderByDue(h.Loop.WallNow(), cpus, otherWork[t.Name], withDueTime[t.Name])
 	}
 }
 
--- a/internal/block/failures.go
+++ b/internal/block/failures.go
@@ -9,11 +9,11 @@
 
 // recordFailure handles a failed attempt, telling faulty machines from faulty jobs by where
 // other tasks succeed. A failure counts against its machine only once the job has completed a
-// task elsewhere: a faulty job fails on every machine, and counting its failures made every
-// machine that ran two of its tasks unreliable. A job that has failed on two machines and
-// completed nothing is tried one task at a time with growing pauses until a task completes.
-// Without this, each of its tasks took its turn on machines, and its gangs held a reservation,
-// until the user cancelled the job.
+// task: a faulty job fails on every machine, and counting its failures made every machine that
+// ran two of its tasks unreliable. A job that has failed on two machines and completed nothing
+// is tried one task at a time with growing pauses until a task completes. Without this, each of
+// its tasks took its turn on machines, and its gangs held a reservation, until the user
+// cancelled the job.
 func (h *Holder) recordFailure(m *machine, j *job, cause string) {
 	now := h.Loop.Now()
 	switch cause {
@@ -37,7 +37,7 @@
 			h.Log.Info("job has failed on every machine so far; trying one task at a time", "job", j.id, "machines", len(j.failedMachines))
 			j.backoffUntil = now.Add(time.Second)
 		}
-	case api.CauseNoSuch:
+	case api.CauseNoSuch: // the worker found no such task
 		j.failures++
 		j.backoffUntil = now.Add(min(time.Second<<min(j.failures, 4), 15*time.Second))
 	case api.CauseNoRoom, api.CauseInUse:
@@ -52,8 +52,8 @@
 	}
 }
 
-// clearFailures is called when a job completes its first task: the machines on which it failed
-// before were at fault.
+// clearFailures is called when a task of a job completes. If that is the first one, the
+// machines on which the job failed before were at fault.
 func (h *Holder) clearFailures(j *job) {
 	for _, id := range core.SortedKeys(j.failedMachines) {
 		if m := h.machines[id]; m != nil {
--- a/internal/block/hints.go
+++ b/internal/block/hints.go
@@ -26,8 +26,8 @@
 	return hint
 }
 
-// RunningHints returns how many tasks of each job are running, for display by other
-// controllers.
+// RunningHints returns how many tasks of each job are running, as RunningCount counts them,
+// for display by other controllers.
 func (h *Holder) RunningHints() (out []peer.RunningHint) {
 	for _, id := range core.SortedKeys(h.jobs) {
 		if n := h.RunningCount(id); n > 0 {
@@ -47,7 +47,8 @@
 	return out
 }
 
-// RunningCount returns how many tasks of a job are running, for display.
+// RunningCount returns how many tasks of a job are on machines and not fetching their image,
+// for display.
 func (h *Holder) RunningCount(id core.JobID) int {
 	j := h.jobs[id]
 	if j == nil {
--- a/internal/block/history_test.go
+++ b/internal/block/history_test.go
@@ -19,10 +19,10 @@
 	random      *rand.Rand
 	gang        bool
 	tasks       int
-	statuses    map[core.MachineID]map[slotKey]api.TaskStatus
-	sequences   map[core.MachineID]uint64
-	reports     []*api.Report
-	lastAttempt core.Attempt
+	statuses    map[core.MachineID]map[slotKey]api.TaskStatus // what each machine would report now
+	sequences   map[core.MachineID]uint64                     // of the last report of each machine
+	reports     []*api.Report                                 // all reports so far, oldest first
+	lastAttempt core.Attempt                                  // highest attempt number so far
 }
 
 func newHistory(random *rand.Rand, gang bool, tasks, machines int) *history {
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -26,9 +26,9 @@
 	Mirror    *state.Mirror
 	State     *state.Client
 	Workers   *worker.Client
-	Types     func() map[string]api.MachineType
-	GangKinds func() capacity.GangKinds
-	Policy    placement.Policy
+	Types     func() map[string]api.MachineType // the cloud's machine types, by name
+	GangKinds func() capacity.GangKinds         // the kinds of machine reserved for gangs even while none waits
+	Policy    placement.Policy                  // variant of the placement to run
 	Metrics   *metrics.Metrics
 }
 
@@ -37,7 +37,7 @@
 
 const (
 	recovering holderState = iota // queries the machines; places nothing
-	placing                       // every machine is accounted for
+	placing                       // every machine in use was accounted for; places tasks
 	released                      // the block is no longer held
 )
 
@@ -46,16 +46,16 @@
 // Holder manages one block while this controller holds it.
 type Holder struct {
 	Env
-	number     int
+	number     int // of the block
 	state      holderState
-	term       core.Term
+	term       core.Term // of the grant
 	grantedAt  core.Time // when the grant was seen
 	attemptSeq uint64    // number of attempts planned under this grant
 	batchSeq   int       // number of completion batches written under this grant
 
 	machines        map[core.MachineID]*machine
 	jobs            map[core.JobID]*job
-	teams           map[string]*placement.Team // as of the last pass, nil before the first
+	teams           map[string]*placement.Team // as of the last pass (run of the placement), nil before the first
 	dirty           bool                       // something has changed since the last pass
 	passScheduled   bool                       // a pass is scheduled
 	lastPass        core.Time
@@ -71,14 +71,14 @@
 
 const (
 	timingMargin          = 500 * time.Millisecond // added to bounds on lease expiry and message delivery
-	answerTimeout         = 4 * time.Second        // after sending a report, workers drop later answers
+	answerTimeout         = 4 * time.Second        // a worker drops an answer that arrives later than this after it sent the report
 	minReportInterval     = 500 * time.Millisecond // least time between two reports of a worker
 	maxStartsPerAnswer    = 150                    // start commands in one answer
 	minPassInterval       = 150 * time.Millisecond // least time between two passes
 	writeInterval         = 250 * time.Millisecond // the next write follows half of this after one was confirmed
 	maxCompletionBatches  = 24                     // from this many on, batches with entries of unfinished jobs are merged too
 	maxTxnChanges         = 24                     // changes in one transaction
-	unreliableFor         = 60 * time.Second       // how long a machine that failed tasks is used last
+	unreliableFor         = 60 * time.Second       // how long any other machine is preferred to one that failed tasks
 	excludeFor            = 60 * time.Second       // how long a job is not tried on a machine on which it failed
 	failuresBeforeBackoff = 8                      // consecutive failures of a job that has completed tasks
 	reevaluateInterval    = 5 * time.Second        // between passes without any change
@@ -153,7 +153,7 @@
 }
 
 // provenHolderAt returns the last time at which the block is proven to have been held by us
-// alone.
+// alone; that is the time of the grant if the mirror was never proven complete.
 func (h *Holder) provenHolderAt() core.Time {
 	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
--- a/internal/block/job.go
+++ b/internal/block/job.go
@@ -17,11 +17,11 @@
 	blocked     bool          // a job that it depends on is not done yet
 	dueBy       core.WallTime // time by which dependent jobs need it to be done; 0: none
 	spec        *api.Job
-	rank        int
-	reported    bool // one of its tasks has been reported by a machine
-	resources   placement.Resources
-	done        core.IndexSet // tasks known to be done, durably or not
-	pending     core.IndexSet // done, not yet durable
+	rank        int                 // highest of its own rank and those of jobs that depend on it
+	reported    bool                // one of its tasks has been reported by a machine
+	resources   placement.Resources // that one task needs
+	done        core.IndexSet       // tasks known to be done, durably or not
+	pending     core.IndexSet       // done, not yet durable
 	// attempts holds the booked attempts of its tasks.
 	attempts attemptSet
 	cursor   int   // every task below has been started or is done
--- a/internal/block/machine.go
+++ b/internal/block/machine.go
@@ -15,9 +15,9 @@
 const (
 	booting machineState = iota // in the block, has not reported yet
 	unsure                      // may run tasks that the holder does not know of
-	live                        // accounted for and reporting
+	live                        // accounted for (see machine.fenced) and reporting
 	silent                      // accounted for, has stopped reporting
-	lapsed                      // its lease is proven to have expired; nothing runs on it
+	lapsed                      // nothing runs on it: its lease is proven to have expired, or it was returned to the cloud
 )
 
 func (s machineState) String() string {
@@ -33,10 +33,10 @@
 	zone            string
 	spot            bool
 	total           placement.Resources // resources of its type; zero while the type is unknown
-	inUse           bool                // as recorded durably
+	inUse           bool                // durably recorded as possibly running tasks; none starts before that
 	draining        bool                // the leader wants it back for another block
 	returnRequested bool                // to be returned to the cloud
-	term            core.Term           // under which it was assigned to the block
+	term            core.Term           // under which it was assigned to the block, or a higher one shown since by prompt
 	// releaseVersion is the version of the machine's inventory part on which a write that
 	// moves the machine to the pool was based. Until that part changes the write may still
 	// take effect, so nothing may be planned on the machine.
@@ -46,8 +46,8 @@
 
 	session         core.Session  // of the last accepted message; 0: none yet
 	sequence        core.Sequence // of the last accepted message
-	ignoredThrough  core.Session  // messages of this and earlier sessions are ignored
-	fenced          bool          // commands of earlier holders can no longer take effect on it
+	ignoredThrough  core.Session  // messages of this and earlier sessions are ignored; highest value: the machine was returned
+	fenced          bool          // accounted for: commands of earlier holders can no longer take effect on it
 	termUnseenSince core.Time     // since when it has been answered without its reports carrying our term; 0: they do
 	unreachable     bool          // it reports, but our answers do not reach it
 	// unreachableSince is when unreachable last changed.
@@ -64,9 +64,9 @@
 	reclaimAt        core.Time       // when the cloud takes it back; 0: no notice
 	idleSince        core.Time       // since when nothing is booked on it; 0: something is
 	failures         int             // failures counted against it since a task last completed on it
-	unreliableUntil  core.Time       // until when it is used last
-	images           map[string]bool // images known to be on it
-	recentImages     []string        // the same images, oldest first
+	unreliableUntil  core.Time       // until then, any other machine is preferred to it
+	images           map[string]bool // names of the images known to be on it
+	recentImages     []string        // the same names, oldest first
 	slots            map[slotKey]*slot
 	sortedSlots      []*slot     // cache of orderedSlots, nil after a slot was added or removed
 	heldReport       *heldReport // report whose answer is held back
--- a/internal/block/pass.go
+++ b/internal/block/pass.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// dropMachinePlans drops the planned starts of a machine that does not fetch them.
+// dropMachinePlans drops the planned starts of a machine to which they cannot be sent.
 func (h *Holder) dropMachinePlans(m *machine) {
 	for _, s := range m.orderedSlots() {
 		if s.state == planned {
--- a/internal/block/preempt.go
+++ b/internal/block/preempt.go
@@ -23,8 +23,8 @@
 )
 
 // preemptible reports whether a task may be stopped for work of the given rank: its own rank
-// is lower, it is not part of a gang, it has run long enough, and it checkpoints, so that no
-// work is lost.
+// is lower, it is not part of a gang, it is not stopping already, it checkpoints, so that no
+// work is lost, and it has run for minRunTime or has not begun to run.
 func (h *Holder) preemptible(s *slot, rank int, now core.Time) bool {
 	j := h.jobs[s.task.Job]
 	return j != nil && s.state == present && s.stopRequest == "" && s.reportedState != api.TaskSaving && !j.gang() && j.spec.CheckpointS > 0 && j.rank < rank &&
@@ -38,7 +38,7 @@
 }
 
 // preempt makes room for waiting work by stopping checkpointing tasks of lower ranks. Without
-// it, idle-time work kept the machines that it had found free for minutes, and jobs that
+// it, best-effort work kept the machines that it had found free for minutes, and jobs that
 // arrived then started late. jobs are those that still wait after the pass, in its order;
 // machines show what is free after it.
 func (h *Holder) preempt(now core.Time, jobs []*placement.Job, machines []*placement.Machine, teams map[string]*placement.Team) {
@@ -161,10 +161,10 @@
 	return found, free
 }
 
-// startsWanted returns how many more tasks of a job should run: all waiting tasks of a job
-// within a guarantee, otherwise as many as it needs to be complete in time, and none while its
-// team's share is withheld for a larger job. Without that last rule, tasks were stopped again
-// and again for a job that could not start.
+// startsWanted returns how many more tasks of a job should run, within its team's quota: all
+// waiting tasks, but of an array with a due time outside a guarantee only as many as it needs
+// to be complete in time, and none while the rest of the quota is withheld for a larger job.
+// Without that last rule, tasks were stopped again and again for a job that could not start.
 func (h *Holder) startsWanted(j *placement.Job, t *placement.Team) int {
 	n := j.Waiting
 	if t == nil || n <= 0 || t.WithholdsFrom(j) {
@@ -187,8 +187,8 @@
 	return n
 }
 
-// drain stops checkpointing idle-time tasks on a machine that has been marked as draining.
-// Otherwise the machine went back only when the last of them had ended.
+// drain stops checkpointing best-effort tasks that are not time-sensitive on a draining
+// machine. Without this, the machine left the block only when the last of them had ended.
 func (h *Holder) drain(m *machine, now core.Time) {
 	if !m.draining || h.state != placing {
 		return
@@ -203,6 +203,7 @@
 
 // saveBeforeReclaim tells checkpointing tasks on a machine that the cloud takes back to save
 // and exit, as late as possible. Otherwise the work since their last checkpoint would be lost.
+// The command may have to wait for the next report, for up to 5/4 of the report interval.
 func (h *Holder) saveBeforeReclaim(m *machine, now core.Time) {
 	if m.reclaimAt == 0 {
 		return
--- a/internal/block/prompt.go
+++ b/internal/block/prompt.go
@@ -15,8 +15,8 @@
 // grant, and nobody else has them.
 
 const (
-	termBatch          = 500
-	allocationInterval = 2 * time.Second
+	termBatch          = 500             // terms reserved in one allocation
+	allocationInterval = 2 * time.Second // least time between two allocations
 	// answerTransit is how long an answer may be in flight. If a higher term overtakes it, the
 	// worker drops the answer with its starts.
 	answerTransit = 500 * time.Millisecond
@@ -50,7 +50,8 @@
 }
 
 // prompt shows a higher term to a machine with a planned start whose next report is far away.
-// Workers act on this once per half a lease.
+// Workers act on this at most once per half a lease. They report again after 3/4 to 5/4 of the
+// report interval.
 func (h *Holder) prompt(m *machine) {
 	now := h.Loop.Now()
 	w := h.Config.Workers
--- a/internal/block/reasons.go
+++ b/internal/block/reasons.go
@@ -32,9 +32,9 @@
 	messageTaken       messageResult = "taken"
 	messageStale       messageResult = "older than what is known"
 	messageLateCopy    messageResult = "late copy"
-	messageNotEntitled messageResult = "not entitled to answer"
+	messageNotEntitled messageResult = "not entitled to answer" // see MayAnswerWorkers
 	messageHigherTerm  messageResult = "under a higher term"
-	messageTermUnseen  messageResult = "machine does not hear us"
+	messageTermUnseen  messageResult = "machine does not hear us" // its reports do not carry our term
 )
 
 // stopReason is why an attempt is told to stop; empty if it is not.
@@ -62,7 +62,7 @@
 const (
 	releaseNotShown        releaseReason = "not shown any more"
 	releaseNotExecuted     releaseReason = "start was not executed"
-	releaseNewSession      releaseReason = "worker's lease ran out"
+	releaseNewSession      releaseReason = "worker's lease ran out" // a worker begins a new session then
 	releaseLeaseExpired    releaseReason = "lease surely ran out"
 	releaseMachineReturned releaseReason = "returned to the cloud"
 	releaseMachineLeft     releaseReason = "machine left the block"
--- a/internal/block/recovery.go
+++ b/internal/block/recovery.go
@@ -5,7 +5,8 @@
 	"lichenstair/internal/core"
 )
 
-// fence shows our term to a machine and asks what is running on it.
+// fence shows our term to a machine and asks what is running on it. A machine whose session is
+// not known yet is asked first, since a term is shown to a given session.
 func (h *Holder) fence(m *machine) {
 	if m.queryInFlight || m.fenced && !m.unreachable || m.addr == "" || h.state == released {
 		return
@@ -48,7 +49,7 @@
 	h.Workers.Fence(m.addr, h.commandTerm(m), m.session, func(rep *api.Report) { done(rep, false) })
 }
 
-// checkRecovered starts the placement once every machine is accounted for.
+// checkRecovered starts the placement once every machine in use is accounted for or lapsed.
 func (h *Holder) checkRecovered() {
 	if h.state != recovering {
 		return
--- a/internal/block/reports.go
+++ b/internal/block/reports.go
@@ -10,9 +10,9 @@
 )
 
 // lateCopy reports whether a report is a copy that was delivered long after it was sent. A
-// worker gives up on a report after a while, so a report still in flight can be older only
-// than a message received since then. A late copy must neither prove a machine alive nor count
-// as answered: repeated copies postponed the proven expiry of a dead machine's lease.
+// worker gives up on a report after answerTimeout, so a report that is not newer than a
+// message received longer ago than that is a late copy. It must neither prove a machine alive
+// nor count as answered: repeated copies postponed the proven expiry of a dead machine's lease.
 func (h *Holder) lateCopy(m *machine, rep *api.Report, now core.Time) bool {
 	return m.session > 0 && !core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), m.session, m.sequence) &&
 		now > m.lastMessage.Add(core.WithDrift(answerTimeout)+timingMargin)
@@ -91,7 +91,8 @@
 }
 
 // applyReclaimNotice records that the cloud takes the machine back in the given number of
-// seconds (nil: it does not).
+// seconds (nil: it does not). The 1 ns added keeps reclaimAt from being 0, which means no
+// notice.
 func (h *Holder) applyReclaimNotice(m *machine, seconds *float64) {
 	if seconds == nil {
 		return
@@ -272,6 +273,6 @@
 // its inventory part may still take effect. After a write that marks the machine as unused, a
 // later holder would not know of a start; after one that moves the machine to the pool, it
 // would not know of anything planned there.
-func (h *Holder) writePending(m *machine, sent core.Revision) bool {
-	return sent != 0 && sent == h.Mirror.Inventory(h.number).VersionOf(m.id)
+func (h *Holder) writePending(m *machine, version core.Revision) bool {
+	return version != 0 && version == h.Mirror.Inventory(h.number).VersionOf(m.id)
 }
--- a/internal/block/slot.go
+++ b/internal/block/slot.go
@@ -32,10 +32,10 @@
 	slotKey
 	state         slotState
 	machine       *machine
-	team          string
-	resources     placement.Resources
-	reportedState string // state as reported by the worker
-	exitCause     string
+	team          string              // of its job
+	resources     placement.Resources // that the task needs
+	reportedState string              // state as reported by the worker
+	exitCause     string              // cause of the end as reported by the worker
 
 	sentAt core.Time // when the start command was sent
 	// sentSession and sentSequence identify the report in whose answer the start was sent.
--- a/internal/block/sync.go
+++ b/internal/block/sync.go
@@ -81,8 +81,8 @@
 	}
 	if r.InUse {
 		m.state = unsure
-		// Any earlier holder may have answered the machine until its own time without contact
-		// to the state service was over.
+		// An earlier holder without contact to the state service may go on renewing the
+		// machine's lease for up to maxContactAge.
 		m.lastRenewal = now.Add(maxContactAge(h.Config.Workers))
 	}
 	h.machines[r.ID] = m
--- a/internal/block/write.go
+++ b/internal/block/write.go
@@ -11,7 +11,8 @@
 )
 
 // persistInUse starts a write if a machine with booked attempts is not yet durably marked as
-// in use. This must be durable before anything starts on it.
+// in use. This must be durable before anything starts on it: the next holder does not wait for
+// machines that are not in use.
 func (h *Holder) persistInUse() {
 	for _, m := range h.machines {
 		if !m.inUse && !m.empty() {
@@ -67,7 +68,7 @@
 func (h *Holder) writeMachines(t *api.Txn) {
 	now := h.Loop.Now()
 	blockInventory, poolInventory := h.Mirror.Inventory(h.number), h.Mirror.Inventory(state.PoolInventory)
-	edit := h.Mirror.Edit(h.Config.StateLimits, max(h.maxChanges()/2, 2), h.number+1)
+	edit := h.Mirror.Edit(h.Config.StateLimits, max(h.maxChanges()/2, 2), h.number+1) // 0 is the leader's lane
 	for record := range blockInventory.All() {
 		m := h.machines[record.ID]
 		if m == nil {
@@ -177,6 +178,7 @@
 }
 
 // shouldReturn reports whether a machine that does not answer should be returned to the cloud.
+// One that reports but is unreachable is not returned before it is empty.
 func (h *Holder) shouldReturn(m *machine, now core.Time) bool {
 	w := h.Config.Workers
 	if m.unreachable && now.Sub(m.unreachableSince) > 3*w.Lease {
