--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -9,27 +9,27 @@
 	"lichenstair/internal/core"
 )
 
-// ChangeSet says which kinds of record a batch of changes concerned.
+// ChangeSet lists which kinds of records a batch of events changed.
 type ChangeSet struct {
 	Leader, Members, Blocks, CompletionBatches bool
 	Inventories                                []int
 	Jobs                                       []core.JobID
 }
 
-func (t *ChangeSet) touch(inventory int) {
+func (t *ChangeSet) addInventory(inventory int) {
 	if !slices.Contains(t.Inventories, inventory) {
 		t.Inventories = append(t.Inventories, inventory)
 	}
 }
 
-func (m *Mirror) take(events []api.Event) {
+func (m *Mirror) applyEvents(events []api.Event) {
 	var t ChangeSet
 	for _, e := range events {
 		key := e.Set
 		if key == "" {
 			key = e.Remove
 		}
-		if core.Revision(e.Version) <= m.known(key) {
+		if core.Revision(e.Version) <= m.appliedVersion(key) {
 			continue
 		}
 		m.versions[key] = core.Revision(e.Version)
@@ -40,9 +40,9 @@
 	}
 }
 
-// known returns the version up to which changes of a key have been taken in.
-func (m *Mirror) known(key string) core.Revision {
-	if id, ok := strings.CutPrefix(key, jobs); ok {
+// appliedVersion returns the version of the last change of a key that was applied, 0 if none was.
+func (m *Mirror) appliedVersion(key string) core.Revision {
+	if id, ok := strings.CutPrefix(key, jobPrefix); ok {
 		if j := m.Jobs[core.JobID(id)]; j != nil {
 			return j.Version
 		}
@@ -50,56 +50,57 @@
 	return m.versions[key]
 }
 
-// apply takes in one change of a key.
+// apply applies one event to the record of its key.
 func (m *Mirror) apply(key string, e api.Event, t *ChangeSet) {
 	switch {
 	case key == KeyLeader:
 		t.Leader = true
-		m.Leader = decoded(m, key, e, func(r *Leader) *Leader { return r })
+		m.Leader = decodeVersioned(m, key, e, func(r *Leader) *Leader { return r })
 	case key == KeyTerm:
-		if term := decoded(m, key, e, func(r *TermCounter) TermCounter { return *r }); term.Version > 0 {
+		if term := decodeVersioned(m, key, e, func(r *TermCounter) TermCounter { return *r }); term.Version > 0 {
 			m.Term = term
 		}
 	case key == KeyTypes:
 		m.applyTypes(key, e)
-	case key == keyArrivals:
-		if arrivals := decoded(m, key, e, func(r *AdditionCounter) AdditionCounter { return *r }); arrivals.Version > 0 {
-			m.arrivals = arrivals
+	case key == keyAdditions:
+		if counter := decodeVersioned(m, key, e, func(r *AdditionCounter) AdditionCounter { return *r }); counter.Version > 0 {
+			m.additions = counter
 		}
-	case strings.HasPrefix(key, members):
+	case strings.HasPrefix(key, memberPrefix):
 		t.Members = true
 		m.applyMember(key, e)
-	case strings.HasPrefix(key, blocks):
+	case strings.HasPrefix(key, blockPrefix):
 		t.Blocks = true
 		m.applyBlock(key, e)
-	case strings.HasPrefix(key, machines):
+	case strings.HasPrefix(key, machinePrefix):
 		m.applyPart(key, e, t)
-	case strings.HasPrefix(key, jobs):
+	case strings.HasPrefix(key, jobPrefix):
 		m.applyJob(key, e, t)
-	case strings.HasPrefix(key, rounds):
+	case strings.HasPrefix(key, completionPrefix):
 		t.CompletionBatches = true
-		m.applyRound(key, e, t)
+		m.applyCompletionBatch(key, e, t)
 	}
 }
 
-// decode reads the record of a change; false if the key was removed or the record cannot
-// be read.
+// decode decodes the record of an event. It returns false if the key was removed or the record is
+// malformed.
 func (m *Mirror) decode(key string, e api.Event, into any) bool {
 	if e.Remove != "" {
 		return false
 	}
 	if err := api.Decode(e.Value, into); err != nil {
-		m.log.Error("unreadable record", "key", key, "error", err)
+		m.log.Error("malformed record in the state service", "key", key, "error", err)
 		return false
 	}
 	return true
 }
 
-// decoded is the record of a change with its version, or nothing of either.
-func decoded[R, T any](m *Mirror, key string, e api.Event, as func(*R) T) (out Versioned[T]) {
+// decodeVersioned returns the record of an event with its version, or the zero value if the key was
+// removed or the record is malformed.
+func decodeVersioned[R, T any](m *Mirror, key string, e api.Event, convert func(*R) T) (out Versioned[T]) {
 	var record R
 	if m.decode(key, e, &record) {
-		out = Versioned[T]{as(&record), core.Revision(e.Version)}
+		out = Versioned[T]{convert(&record), core.Revision(e.Version)}
 	}
 	return out
 }
@@ -116,19 +117,19 @@
 }
 
 func (m *Mirror) applyMember(key string, e api.Event) {
-	host := core.Host(strings.TrimPrefix(key, members))
+	host := core.Host(strings.TrimPrefix(key, memberPrefix))
 	delete(m.Members, host)
-	if member := decoded(m, key, e, func(r *Member) Member { return *r }); member.Version > 0 {
+	if member := decodeVersioned(m, key, e, func(r *Member) Member { return *r }); member.Version > 0 {
 		m.Members[host] = member
 	}
 }
 
 func (m *Mirror) applyBlock(key string, e api.Event) {
-	number, err := strconv.Atoi(strings.TrimPrefix(key, blocks))
+	number, err := strconv.Atoi(strings.TrimPrefix(key, blockPrefix))
 	if err != nil {
 		return
 	}
-	if block := decoded(m, key, e, func(r *Block) *Block { return r }); block.Version > 0 {
+	if block := decodeVersioned(m, key, e, func(r *Block) *Block { return r }); block.Version > 0 {
 		m.Blocks[number] = block
 	}
 }
@@ -137,62 +138,62 @@
 	number, part, ok := parsePart(key)
 	var record InventoryPart
 	if ok && m.decode(key, e, &record) {
-		t.touch(number)
+		t.addInventory(number)
 		m.Inventory(number).put(part, &record, core.Revision(e.Version))
 	}
 }
 
-// applyJob takes in the record of a job. One that is over stays so: no change can make it
-// unfinished again.
+// applyJob applies a job record. A finished job stays finished: a later record cannot reopen it.
 func (m *Mirror) applyJob(key string, e api.Event, t *ChangeSet) {
-	id := core.JobID(strings.TrimPrefix(key, jobs))
+	id := core.JobID(strings.TrimPrefix(key, jobPrefix))
 	var record Job
 	if !m.decode(key, e, &record) {
 		return
 	}
-	t.job(id)
+	t.addJob(id)
 	entry := m.Jobs[id]
 	known := entry != nil
 	if !known {
 		entry = m.newEntry(id)
 	}
 	if entry.Job.Finished() && entry.Tasks > 0 && !record.Finished() {
-		m.log.Error("a job that was over is called unfinished", "job", id)
+		m.log.Error("ignoring a record that reopens a finished job", "job", id)
 		return
 	}
 	entry.Job, entry.Version = record, core.Revision(e.Version)
 	switch {
 	case record.Finished():
-		entry.Spec, entry.Done, entry.needs = nil, core.IndexSet{}, nil
-		m.settled(id, entry, t)
-	case entry.withdrawn:
+		entry.Spec, entry.Done, entry.dependencies = nil, core.IndexSet{}, nil
+		m.jobFinished(id, entry, t)
+	case entry.dependencyCancelled:
 		entry.Spec = nil
 	default:
-		m.link(id, entry, t)
+		m.linkDependencies(id, entry, t)
 		if !known {
-			// Keys are loaded in their order, not in that of the jobs.
+			// Keys are loaded in key order, so dependents may have been applied before this job.
 			for _, dependent := range m.dependents[id] {
-				m.inherit(dependent, t)
+				m.propagateUrgency(dependent, t)
 			}
 		}
 	}
-	delete(m.versions, key) // the entry keeps its version itself
+	delete(m.versions, key) // the entry holds the version itself
 }
 
-// newEntry makes the entry of a job, with the tasks that rounds already tell to be done.
+// newEntry creates the entry of a job and marks the tasks that existing completion records name as
+// done.
 func (m *Mirror) newEntry(id core.JobID) *JobEntry {
 	entry := &JobEntry{}
 	m.Jobs[id] = entry
-	for _, ofBlock := range m.CompletionBatches {
-		for _, round := range ofBlock {
-			entry.Done.Union(round.Done[id])
+	for _, batches := range m.CompletionBatches {
+		for _, batch := range batches {
+			entry.Done.Union(batch.Done[id])
 		}
 	}
 	return entry
 }
 
-func (m *Mirror) applyRound(key string, e api.Event, t *ChangeSet) {
-	number := blockOfRound(key)
+func (m *Mirror) applyCompletionBatch(key string, e api.Event, t *ChangeSet) {
+	number := blockOfCompletionBatch(key)
 	if e.Remove != "" {
 		delete(m.CompletionBatches[number], key)
 		delete(m.versions, key)
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -1,5 +1,5 @@
-// Package state talks to the state service: transactions, tenures, and a
-// mirror of all keys that is fed by a watch and proven fresh on demand.
+// Package state is the client of the state service: transactions, leases, and a local replica of
+// all keys that a watch keeps up to date and that can be verified to be current on demand.
 package state
 
 import (
@@ -13,53 +13,55 @@
 	"lichenstair/internal/core"
 )
 
-// Outcome says what is known of a transaction.
+// Outcome is the result of a transaction as far as the client knows it.
 type Outcome int
 
 const (
-	// Applied: it was carried out at Revision.
+	// Applied: the transaction was committed at Result.Revision.
 	Applied Outcome = iota
 	// Conflict: a condition did not hold; nothing was changed.
 	Conflict
-	// LeaseExpired: the tenure it names has ended; nothing was changed.
+	// LeaseExpired: the lease that the transaction names has ended; nothing was changed.
 	LeaseExpired
-	// Refused: the service did not execute it.
+	// Refused: the service did not execute the transaction.
 	Refused
-	// Oversized: the service does not take it as it is; it must be smaller.
+	// Oversized: the transaction exceeds a size limit of the service and must be made smaller.
 	Oversized
-	// Unknown: it may have been executed, or may still be.
+	// Unknown: the transaction may have been executed, or may still be executed later.
 	Unknown
 )
 
 func (o Outcome) String() string {
-	return [...]string{"applied", "conflict", "no tenure", "refused", "oversized", "unknown"}[o]
+	return [...]string{"applied", "conflict", "lease expired", "refused", "oversized", "unknown"}[o]
 }
 
-// Result is what came of a transaction.
+// Result is the result of a transaction. Failed lists the keys of the conditions that did not hold.
 type Result struct {
 	Outcome  Outcome
 	Revision core.Revision
 	Failed   []string
 }
 
-// Client sends requests to the state service within this node's share of its
-// limits. What does not fit waits in bounded queues. Tenures, elections and grants
-// go first, since a few large transactions take seconds where many controllers share
-// a small rate, as long as a tenure lasts. The others take turns by weight.
+// Client sends requests to the state service within this node's share of the service's rate limits.
+// Requests over the limit wait in bounded queues. Lease requests, elections and block grants have
+// strict priority: where many controllers share a small write rate, a few large transactions take
+// several seconds, which is as long as a lease lasts. The other classes share the rate by weighted
+// fair queuing.
 type Client struct {
-	loop     core.Loop
-	call     core.Caller
-	addr     string
-	requests *bucket
-	writes   *bucket
-	fair     float64 // this node's part of the changes if all want theirs
-	used     rateMeter
-	queues   [lanes][]queued
-	turn     [lanes]float64 // how much each lane was served, by its weight
-	waking   core.Time      // when drain runs next; 0: when something comes
-	// Transactions have one over this of the changes that the settings allow, until then.
-	shrink      int
-	shrinkUntil core.Time
+	loop        core.Loop
+	call        core.Caller
+	addr        string
+	requests    *bucket
+	writes      *bucket
+	fairRate    float64 // this node's equal share of the write rate
+	writeMeter  rateMeter
+	queues      [classCount][]queuedRequest
+	virtualTime [classCount]float64 // virtual time of each class: requests sent, divided by the weight
+	wakeAt      core.Time           // time of the next scheduled dispatch; 0: none is scheduled
+	// Until shrinkUntil, transactions are limited to 1/shrinkFactor of the writes that the settings
+	// allow.
+	shrinkFactor int
+	shrinkUntil  core.Time
 }
 
 const (
@@ -67,113 +69,116 @@
 	txnTimeout = 1500 * time.Millisecond
 )
 
-// NewClient makes a client for one of nodes controllers.
-func NewClient(loop core.Loop, call core.Caller, addr string, lim config.StateLimits, nodes int) *Client {
+// NewClient returns a client for one of nodes controllers, each of which gets an equal share of the
+// limits.
+func NewClient(loop core.Loop, call core.Caller, addr string, limits config.StateLimits, nodes int) *Client {
 	share := 0.9 / float64(nodes)
 	return &Client{
-		loop: loop, call: call, addr: addr, fair: lim.WriteRPS * share,
-		requests: newBucket(loop, lim.RPS*share), writes: newBucket(loop, lim.WriteRPS*share),
+		loop: loop, call: call, addr: addr, fairRate: limits.WriteRPS * share,
+		requests: newBucket(loop, limits.RPS*share), writes: newBucket(loop, limits.WriteRPS*share),
 	}
 }
 
-// WriteRate is how many changes a second this node has made lately.
-func (c *Client) WriteRate() float64 { return c.used.rate(c.loop.Now()) }
+// WriteRate returns the recent write rate of this node, in writes per second.
+func (c *Client) WriteRate() float64 { return c.writeMeter.rate(c.loop.Now()) }
 
-// RedistributeWrites divides what other nodes leave unused of their parts. Their usage is what
-// they told lately; of one that has told nothing it is -1. The block with most of
-// the work otherwise waited for its own part, a fifth, while the rest lay idle.
-// Everybody keeps a quarter of the part at the least, for what comes suddenly; as
-// long as nobody is heard of, each has its own part.
+// RedistributeWrites sets this node's write rate to its own share plus a part of the shares that
+// other nodes leave unused. others holds the write rate that each of them last reported, or -1 if
+// it has reported none. Without this, the block with most of the work was limited to its own fifth
+// of the rate while the rest went unused. Every node keeps at least a quarter of its share for
+// bursts, and nodes that have reported nothing count as using all of theirs.
 func (c *Client) RedistributeWrites(others []float64) {
-	idle, wanting := 0.0, 1.0
+	idle, busy := 0.0, 1.0
 	for _, used := range others {
 		switch {
 		case used < 0:
-		case used < c.fair*3/4:
-			idle += c.fair - max(used, c.fair/4)
+		case used < c.fairRate*3/4:
+			idle += c.fairRate - max(used, c.fairRate/4)
 		default:
-			wanting++
+			busy++
 		}
 	}
-	c.writes.setRate(c.fair + 0.8*idle/wanting)
-	c.drain()
+	c.writes.setRate(c.fairRate + 0.8*idle/busy)
+	c.dispatch()
 }
 
-// BatchSize is how many changes a transaction should have that can wait: no more than
-// this node may make in a second, so that others do not wait long behind it.
-func (c *Client) BatchSize(most int) int {
-	most = c.shrunk(most)
-	return max(min(most, int(c.writes.rate)), min(most, 6))
+// BatchSize returns how many writes, at most limit, a deferrable transaction should contain: no
+// more than this node may send in a second, so that requests queued behind it are not delayed for
+// long.
+func (c *Client) BatchSize(limit int) int {
+	limit = c.limitBatch(limit)
+	return max(min(limit, int(c.writes.rate)), min(limit, 6))
 }
 
 const (
-	shrinkTime = 30 * time.Second
-	maxShrink  = 16
+	shrinkPeriod    = 30 * time.Second
+	maxShrinkFactor = 16
 )
 
-// shrunk is how many of most changes a transaction may have, after one was too large.
-func (c *Client) shrunk(most int) int {
-	if c.shrink > 1 && c.loop.Now() < c.shrinkUntil {
-		return max(most/c.shrink, 1)
+// limitBatch returns how many of limit writes a transaction may contain after the service has
+// rejected one as too large.
+func (c *Client) limitBatch(limit int) int {
+	if c.shrinkFactor > 1 && c.loop.Now() < c.shrinkUntil {
+		return max(limit/c.shrinkFactor, 1)
 	}
-	return most
+	return limit
 }
 
-// heed takes in what the service does not allow: transactions get smaller, changes slower.
-// Its limits may become lower than anybody was told.
-func (c *Client) heed(status int, out Outcome) {
+// adaptToLimits reacts to a response that signals an exceeded limit: transactions become smaller,
+// or writes slower. The service may lower its limits below the configured ones.
+func (c *Client) adaptToLimits(status int, out Outcome) {
 	switch {
 	case out == Oversized:
 		if c.loop.Now() >= c.shrinkUntil {
-			c.shrink = 1
+			c.shrinkFactor = 1
 		}
-		c.shrink, c.shrinkUntil = min(2*max(c.shrink, 1), maxShrink), c.loop.Now().Add(shrinkTime)
+		c.shrinkFactor, c.shrinkUntil = min(2*max(c.shrinkFactor, 1), maxShrinkFactor), c.loop.Now().Add(shrinkPeriod)
 	case status == 429:
-		c.writes.fill()
+		c.writes.refill()
 		c.writes.level = min(c.writes.level, 0)
 	}
 }
 
-// WriteBudget is how many changes could be sent now, of at most most, and a share of
-// a second's worth at least.
-func (c *Client) WriteBudget(most int) int {
-	most = c.shrunk(most)
-	c.writes.fill()
-	return max(min(most, int(c.writes.level)), min(most, int(c.writes.rate/2)+1))
+// WriteBudget returns how many writes, at most limit, the rate limiter would admit now. It returns
+// at least half a second's worth, unless limit is lower.
+func (c *Client) WriteBudget(limit int) int {
+	limit = c.limitBatch(limit)
+	c.writes.refill()
+	return max(min(limit, int(c.writes.level)), min(limit, int(c.writes.rate/2)+1))
 }
 
-// ReadInterval is how long to wait between two reads of a kind that repeats for as long
-// as there is reason to: next to nothing while there are requests to spare, and a
-// quarter of the rate when there are none.
+// ReadInterval returns how long to wait between two reads that repeat. It is near zero while unused
+// requests are available and corresponds to a quarter of the request rate when there are none.
 func (c *Client) ReadInterval() time.Duration {
-	c.requests.fill()
+	c.requests.refill()
 	spare := max(c.requests.level, 0) / max(c.requests.rate, 1)
 	return time.Duration((1 - min(2*spare, 1)) * 4 / c.requests.rate * float64(time.Second))
 }
 
-// Txn carries out t.
-func (c *Client) Txn(t api.Txn, done func(Result)) { c.txn(changes, t, done) }
+// Txn executes t at normal priority.
+func (c *Client) Txn(t api.Txn, done func(Result)) { c.txn(classWrite, t, done) }
 
-// TxnHighPriority carries out t before all else that waits: elections and grants.
-func (c *Client) TxnHighPriority(t api.Txn, done func(Result)) { c.txn(grants, t, done) }
+// TxnHighPriority executes t before all other waiting transactions. It is meant for elections and
+// block grants.
+func (c *Client) TxnHighPriority(t api.Txn, done func(Result)) { c.txn(classElection, t, done) }
 
-// TxnLowPriority carries out t once nothing else has to be changed.
-func (c *Client) TxnLowPriority(t api.Txn, done func(Result)) { c.txn(records, t, done) }
+// TxnLowPriority executes t in the class with the lowest weight, for records that can wait.
+func (c *Client) TxnLowPriority(t api.Txn, done func(Result)) { c.txn(classBackground, t, done) }
 
-func (c *Client) txn(l lane, t api.Txn, done func(Result)) {
+func (c *Client) txn(class requestClass, t api.Txn, done func(Result)) {
 	if t.If == nil {
 		t.If = []api.Condition{}
 	}
 	body, err := json.Marshal(t)
 	if err != nil || len(body) > api.MaxBody {
-		c.heed(0, Oversized)
+		c.adaptToLimits(0, Oversized)
 		done(Result{Outcome: Oversized})
 		return
 	}
-	c.enqueue(l, len(t.Then), func() {
+	c.enqueue(class, len(t.Then), func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: "/txn", Body: body, Timeout: txnTimeout}, func(r core.Response) {
 			res := txnResult(r)
-			c.heed(r.Status, res.Outcome)
+			c.adaptToLimits(r.Status, res.Outcome)
 			done(res)
 		})
 	}, func() { done(Result{Outcome: Refused}) })
@@ -204,10 +209,10 @@
 	}
 }
 
-// GrantLease asks for a tenure; 0 means that none was given.
+// GrantLease requests a lease; done gets 0 if none was granted.
 func (c *Client) GrantLease(ttl time.Duration, done func(core.LeaseID)) {
 	body, _ := json.Marshal(api.LeaseRequest{TTLMS: int(ttl.Milliseconds())})
-	c.enqueue(urgent, 0, func() {
+	c.enqueue(classLease, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: "/grants", Body: body, Timeout: txnTimeout}, func(r core.Response) {
 			var a api.LeaseResponse
 			if r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
@@ -218,29 +223,29 @@
 	}, func() { done(0) })
 }
 
-// RenewLease prolongs a tenure; done gets the status of the answer, 0 for none.
-func (c *Client) RenewLease(t core.LeaseID, done func(status int)) {
-	c.enqueue(urgent, 0, func() {
-		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: fmt.Sprintf("/grants/%d/renew", t), Timeout: txnTimeout}, func(r core.Response) { done(r.Status) })
+// RenewLease extends a lease; done gets the HTTP status of the response, 0 for no response.
+func (c *Client) RenewLease(id core.LeaseID, done func(status int)) {
+	c.enqueue(classLease, 0, func() {
+		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: fmt.Sprintf("/grants/%d/renew", id), Timeout: txnTimeout}, func(r core.Response) { done(r.Status) })
 	}, func() { done(0) })
 }
 
-// RevokeLease ends a tenure at once; keys attached to it are removed.
-func (c *Client) RevokeLease(t core.LeaseID, done func(ok bool)) {
-	c.enqueue(urgent, 0, func() {
-		c.call.Call(core.Request{Addr: c.addr, Method: "DELETE", Path: fmt.Sprintf("/grants/%d", t), Timeout: txnTimeout}, func(r core.Response) {
+// RevokeLease ends a lease at once, which removes the keys attached to it.
+func (c *Client) RevokeLease(id core.LeaseID, done func(ok bool)) {
+	c.enqueue(classLease, 0, func() {
+		c.call.Call(core.Request{Addr: c.addr, Method: "DELETE", Path: fmt.Sprintf("/grants/%d", id), Timeout: txnTimeout}, func(r core.Response) {
 			done(r.Status >= 200 && r.Status < 300 || r.Status == 404)
 		})
 	}, func() { done(false) })
 }
 
-// Page reads keys with a prefix after a key.
+// Page reads up to 500 keys with a prefix that follow the key from.
 func (c *Client) Page(prefix, from string, done func(api.ItemPage, bool)) {
 	path := "/store?prefix=" + prefix + "&most=500"
 	if from != "" {
 		path += "&from=" + from
 	}
-	c.enqueue(reads, 0, func() {
+	c.enqueue(classRead, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "GET", Path: path, Timeout: 3 * time.Second}, func(r core.Response) {
 			var p api.ItemPage
 			ok := r.Status == 200 && api.Decode(r.Body, &p) == nil
@@ -249,11 +254,11 @@
 	}, func() { done(api.ItemPage{}, false) })
 }
 
-// Watch waits for changes after a revision. gone means that the service no
-// longer keeps them.
+// Watch waits up to block for changes after the revision from. gone reports that the service has
+// already discarded them.
 func (c *Client) Watch(prefix string, from core.Revision, block time.Duration, done func(a api.WatchResponse, ok, gone bool)) {
 	path := "/watch?prefix=" + prefix + "&from=" + strconv.FormatUint(uint64(from), 10) + "&blockMs=" + strconv.Itoa(int(block.Milliseconds()))
-	c.enqueue(reads, 0, func() {
+	c.enqueue(classRead, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "GET", Path: path, Timeout: block + 3*time.Second}, func(r core.Response) {
 			var a api.WatchResponse
 			ok := r.Status == 200 && api.Decode(r.Body, &a) == nil
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -12,12 +12,12 @@
 	"lichenstair/internal/core"
 )
 
-// stepLoop is a loop on virtual time; every call is answered at once.
-type stepLoop struct {
-	now   core.Time
-	later timers
-	sent  []string
-	at    map[string]core.Time
+// virtualLoop is an event loop on virtual time; every call is answered at once.
+type virtualLoop struct {
+	now    core.Time
+	timers timerHeap
+	sent   []string
+	sentAt map[string]core.Time
 }
 
 type timer struct {
@@ -25,44 +25,44 @@
 	run func()
 }
 
-type timers []timer
+type timerHeap []timer
 
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(timer)) }
-func (t *timers) Pop() any {
+func (t timerHeap) Len() int           { return len(t) }
+func (t timerHeap) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t timerHeap) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *timerHeap) Push(x any)        { *t = append(*t, x.(timer)) }
+func (t *timerHeap) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
 }
 
-func (l *stepLoop) Now() core.Time         { return l.now }
-func (l *stepLoop) WallNow() core.WallTime { return 0 }
-func (l *stepLoop) After(d time.Duration, f func()) {
-	heap.Push(&l.later, timer{l.now.Add(d), f})
+func (l *virtualLoop) Now() core.Time         { return l.now }
+func (l *virtualLoop) WallNow() core.WallTime { return 0 }
+func (l *virtualLoop) After(d time.Duration, f func()) {
+	heap.Push(&l.timers, timer{l.now.Add(d), f})
 }
 
-func (l *stepLoop) Call(r core.Request, done func(core.Response)) {
-	l.at[r.Path] = l.now
+func (l *virtualLoop) Call(r core.Request, done func(core.Response)) {
+	l.sentAt[r.Path] = l.now
 	l.sent = append(l.sent, r.Path)
 	done(core.Response{Status: 200, Body: []byte(`{}`)})
 }
 
-func (l *stepLoop) run(until core.Time) {
-	for len(l.later) > 0 && l.later[0].at <= until {
-		t := heap.Pop(&l.later).(timer)
+func (l *virtualLoop) run(until core.Time) {
+	for len(l.timers) > 0 && l.timers[0].at <= until {
+		t := heap.Pop(&l.timers).(timer)
 		l.now = t.at
 		t.run()
 	}
 	l.now = until
 }
 
-// Where many controllers share a small rate of changes, a few large transactions
-// take longer than a tenure lasts. A renewal must not wait behind them, also not
-// one that comes while the client sleeps until the next change is allowed.
+// Where many controllers share a small write rate, a few large transactions take longer than a
+// lease lasts. A renewal must not wait behind them, even if it arrives while the client sleeps
+// until the next write is allowed.
 func TestRenewalOvertakesChanges(t *testing.T) {
-	l := &stepLoop{at: map[string]core.Time{}}
+	l := &virtualLoop{sentAt: map[string]core.Time{}}
 	c := NewClient(l, l, "", config.StateLimits{RPS: 400, WriteRPS: 100, ValueBytes: 8 << 10, TxnOps: 32}, 10)
 	for range 4 {
 		txn := api.Txn{}
@@ -74,21 +74,21 @@
 	l.run(core.Time(500 * time.Millisecond))
 	c.RenewLease(7, func(int) {})
 	l.run(core.Time(time.Second))
-	renewed, ok := l.at["/grants/7/renew"]
+	renewed, ok := l.sentAt["/grants/7/renew"]
 	if !ok || renewed > core.Time(600*time.Millisecond) {
-		t.Fatalf("the renewal was sent at %v, sent so far: %v", renewed, l.sent)
+		t.Fatalf("lease renewal sent at %v, want at most 600ms; requests sent: %v", renewed, l.sent)
 	}
 	l.run(core.Time(20 * time.Second))
 	if n := strings.Count(strings.Join(l.sent, " "), "/txn"); n != 4 {
-		t.Fatalf("%d of 4 transactions were sent", n)
+		t.Fatalf("%d transactions sent, want 4", n)
 	}
 }
 
-// The node with most of the work takes up what the others leave, and all together
-// stay within the limit; those of which nothing is heard keep their parts.
-func TestChangesAreShared(t *testing.T) {
+// A busy node uses the write rate that the others leave unused, and all nodes together stay within
+// the limit. Nodes that have reported nothing keep their shares.
+func TestUnusedWriteRateIsRedistributed(t *testing.T) {
 	const nodes, limit = 5, 100.0
-	l := &stepLoop{at: map[string]core.Time{}}
+	l := &virtualLoop{sentAt: map[string]core.Time{}}
 	rate := func(own int, used []float64) float64 {
 		c := NewClient(l, l, "", config.StateLimits{RPS: 400, WriteRPS: limit, ValueBytes: 8 << 10, TxnOps: 32}, nodes)
 		var others []float64
@@ -102,10 +102,10 @@
 	}
 	fair := limit * 0.9 / nodes
 	if r := rate(0, []float64{18, -1, -1, -1, -1}); r != fair {
-		t.Fatalf("alone: %v", r)
+		t.Fatalf("write rate without reports of others: %v, want the own share", r)
 	}
 	if r := rate(0, []float64{18, 0, 1, 0, 2}); r < 3*fair {
-		t.Fatalf("a busy node beside idle ones may make only %v changes", r)
+		t.Fatalf("write rate of a busy node beside idle ones: %v, want at least three shares", r)
 	}
 	for set := range 1 << nodes {
 		used := make([]float64, nodes)
@@ -121,16 +121,16 @@
 			}
 		}
 		if sum > limit {
-			t.Fatalf("used %v: together %v of %v", used, sum, limit)
+			t.Fatalf("write rates %v: %v in all, limit %v", used, sum, limit)
 		}
 	}
 }
 
-// A submission stood behind the records of the busiest block, whose transactions
-// took seconds of the node's part of the rate; it goes first, and what can wait
-// comes in batches of at most a second's worth.
-func TestJobsOvertakeRecords(t *testing.T) {
-	l := &stepLoop{at: map[string]core.Time{}}
+// A submission once waited behind record transactions of the busiest block, which took seconds of
+// the node's write rate. Submissions overtake them, and deferrable writes come in batches of at
+// most a second's worth.
+func TestSubmissionsOvertakeBackgroundWrites(t *testing.T) {
+	l := &virtualLoop{sentAt: map[string]core.Time{}}
 	c := NewClient(l, l, "", config.StateLimits{RPS: 400, WriteRPS: 40, ValueBytes: 8 << 10, TxnOps: 32}, 5)
 	var order []string
 	txn := func(n int) (t api.Txn) {
@@ -140,7 +140,7 @@
 		return t
 	}
 	if n := c.BatchSize(24); n > 8 {
-		t.Fatalf("a batch of %d changes at 7.2 a second", n)
+		t.Fatalf("batch of %d writes at 7.2 writes per second, want at most 8", n)
 	}
 	for range 3 {
 		c.TxnLowPriority(txn(c.BatchSize(24)), func(Result) { order = append(order, "record") })
@@ -148,20 +148,19 @@
 	c.Txn(txn(1), func(Result) { order = append(order, "job") })
 	l.run(core.Time(time.Second))
 	if len(order) < 2 || order[1] != "job" {
-		t.Fatalf("after a second: %v", order)
+		t.Fatalf("transactions after 1 s: %v, want a job second", order)
 	}
 	l.run(core.Time(10 * time.Second))
 	if len(order) != 4 {
-		t.Fatalf("after ten seconds: %v", order)
+		t.Fatalf("transactions after 10 s: %v, want 4", order)
 	}
 }
 
-// Reads repeat for as long as others change things and users ask, and took every request
-// that a node may send; jobs and records must get theirs all the same, and a grant goes
-// before all of them.
-func TestReadsLeaveRoomForChanges(t *testing.T) {
-	l := &stepLoop{at: map[string]core.Time{}}
-	c := NewClient(l, l, "", config.StateLimits{RPS: 100, WriteRPS: 400, ValueBytes: 8 << 10, TxnOps: 32}, 5) // 18 requests a second
+// Repeated reads once used every request that a node may send. Job and record transactions must get
+// their share, and an election transaction goes before all of them.
+func TestReadsDoNotStarveWrites(t *testing.T) {
+	l := &virtualLoop{sentAt: map[string]core.Time{}}
+	c := NewClient(l, l, "", config.StateLimits{RPS: 100, WriteRPS: 400, ValueBytes: 8 << 10, TxnOps: 32}, 5) // 18 requests per second for each node
 	until := core.Time(20 * time.Second)
 	count := map[string]int{}
 	var again func(what string, send func(done func()))
@@ -188,12 +187,12 @@
 	})
 	l.run(until)
 	if count["jobs"] < 60 || count["records"] < 20 || count["reads"] < 60 {
-		t.Fatalf("in 20 s: %v", count)
+		t.Fatalf("requests in 20 s: %v, want at least 60 jobs, 20 records and 60 reads", count)
 	}
 	if granted == 0 || granted.Sub(asked) > 150*time.Millisecond {
-		t.Fatalf("a grant waited %v", granted.Sub(asked))
+		t.Fatalf("an election transaction waited %v, want at most 150ms", granted.Sub(asked))
 	}
 	if sum := count["jobs"] + count["records"] + count["reads"]; sum > 20*18+20 {
-		t.Fatalf("%d requests in 20 s at 18 a second", sum)
+		t.Fatalf("%d requests in 20 s, limit 18 per second", sum)
 	}
 }
--- a/internal/state/edit.go
+++ b/internal/state/edit.go
@@ -8,42 +8,42 @@
 	"lichenstair/internal/core"
 )
 
-// editBytes bounds what one transaction writes of machines.
-const editBytes = 40 << 10
+// maxEditBytes limits the bytes of machine records that one transaction writes.
+const maxEditBytes = 40 << 10
 
-// Edit collects changes to machines for one transaction, within its limits.
-// What no longer fits is refused, and left for the next transaction.
+// Edit collects changes of machine records for one transaction, within its limits. Changes that do
+// not fit are refused and left for the next transaction.
 type Edit struct {
-	mirror *Mirror
-	most   int // bytes of a part
-	ops    int // parts that may still be changed
-	hard   int // parts that a transaction can have at all
-	bytes  int
-	lane   int
-	added  bool
-	drafts map[[2]int]*InventoryPart
-	order  [][2]int
-}
-
-// Edit starts to collect changes to at most ops parts. What it adds to the pool
-// goes to parts of its lane: holders have one each, and the leader has lane 0,
-// so that their releases need not wait for each other.
-func (m *Mirror) Edit(lim config.StateLimits, ops, lane int) *Edit {
-	return &Edit{mirror: m, most: min(lim.ValueBytes, partBytes) - 64, ops: ops, hard: lim.TxnOps - besideParts, bytes: editBytes, lane: lane, drafts: map[[2]int]*InventoryPart{}}
-}
-
-// besideParts is how many other changes a transaction with machines may have: a counter of
-// terms and one of arrivals, or what is done.
-const besideParts = 3
-
-// split lists the machines of a part in pieces that fit a value each. Parts that were
-// written when longer values were allowed are written in pieces once they change, all in
-// one transaction.
-func (e *Edit) split(have *InventoryPart) (pieces [][]Machine) {
-	size := e.most
-	for i := range have.Machines {
-		m := &have.Machines[i]
-		if size+m.size() > e.most {
+	mirror      *Mirror
+	maxPartSize int // maximum size of a part, in bytes
+	partsLeft   int // parts that may still be changed
+	maxParts    int // maximum number of parts in any transaction
+	bytesLeft   int
+	stripe      int
+	added       bool
+	drafts      map[[2]int]*InventoryPart
+	order       [][2]int
+}
+
+// Edit returns an edit of at most ops parts. Machines added to the pool go to the parts of the
+// given stripe: each block holder has its own and the leader has stripe 0, so that concurrent
+// releases do not conflict.
+func (m *Mirror) Edit(limits config.StateLimits, ops, stripe int) *Edit {
+	return &Edit{mirror: m, maxPartSize: min(limits.ValueBytes, maxPartBytes) - 64, partsLeft: ops, maxParts: limits.TxnOps - reservedWrites, bytesLeft: maxEditBytes, stripe: stripe, drafts: map[[2]int]*InventoryPart{}}
+}
+
+// reservedWrites is the number of other writes that a transaction with machines may contain: the
+// term counter and the addition counter, or completions.
+const reservedWrites = 3
+
+// split divides the machines of a part into pieces that each fit into one value. A part that was
+// written under a larger value limit is rewritten in pieces in the transaction that first changes
+// it.
+func (e *Edit) split(current *InventoryPart) (pieces [][]Machine) {
+	size := e.maxPartSize
+	for i := range current.Machines {
+		m := &current.Machines[i]
+		if size+m.size() > e.maxPartSize {
 			pieces, size = append(pieces, nil), (&InventoryPart{}).size()
 		}
 		size += m.size()
@@ -53,9 +53,9 @@
 	return pieces
 }
 
-// vacant finds the first part of an inventory that does not exist and is not drafted.
-func (e *Edit) vacant(inventory int) int {
-	first, step := e.lanes(inventory)
+// freePart returns the first part number of an inventory that neither exists nor has a draft.
+func (e *Edit) freePart(inventory int) int {
+	first, step := e.stripeOf(inventory)
 	for k := first; ; k += step {
 		if _, ok := e.mirror.Inventory(inventory).parts[k]; !ok && e.drafts[[2]int{inventory, k}] == nil {
 			return k
@@ -63,82 +63,84 @@
 	}
 }
 
-// lanes tells which parts of an inventory are for new machines of this edit.
-func (e *Edit) lanes(inventory int) (first, step int) {
+// stripeOf returns the first part number and the step of the parts that take new machines of this
+// edit.
+func (e *Edit) stripeOf(inventory int) (first, step int) {
 	if inventory == PoolInventory {
-		return e.lane, len(e.mirror.Blocks) + 1
+		return e.stripe, len(e.mirror.Blocks) + 1
 	}
 	return 0, 1
 }
 
-// own makes the part changeable in which a machine is, and returns it, or nil.
-func (e *Edit) own(inventory int, id core.MachineID) *InventoryPart {
+// editablePart returns a draft of the part that holds a machine, or nil if the machine is missing
+// or the limits do not allow it.
+func (e *Edit) editablePart(inventory int, id core.MachineID) *InventoryPart {
 	k := e.partOf(inventory, id)
 	if k < 0 || e.draft(inventory, k) == nil {
 		return nil
 	}
-	return e.drafts[[2]int{inventory, e.partOf(inventory, id)}] // it may have been split
+	return e.drafts[[2]int{inventory, e.partOf(inventory, id)}] // the part may have been split
 }
 
-// draft makes a part changeable, unless the limits forbid it.
+// draft returns a changeable copy of a part, or nil if the limits do not allow it.
 func (e *Edit) draft(inventory, part int) *InventoryPart {
 	key := [2]int{inventory, part}
 	if p := e.drafts[key]; p != nil {
 		return p
 	}
 	pieces := [][]Machine{{}}
-	if have, ok := e.mirror.Inventory(inventory).parts[part]; ok {
-		pieces[0] = append(pieces[0], have.Record.Machines...)
-		if have.Record.size() > e.most {
-			pieces = e.split(have.Record)
+	if current, ok := e.mirror.Inventory(inventory).parts[part]; ok {
+		pieces[0] = append(pieces[0], current.Record.Machines...)
+		if current.Record.size() > e.maxPartSize {
+			pieces = e.split(current.Record)
 		}
 	}
-	// The pieces of one part go together, also if that is more than a transaction should
-	// have for the sake of those behind it.
-	if e.ops < 1 || e.bytes < e.most*len(pieces) || len(pieces) > 1 && len(e.order)+len(pieces) > e.hard {
+	// All pieces of a part must be written together, even if that exceeds the number of writes that
+	// a transaction should have to keep queueing delays short.
+	if e.partsLeft < 1 || e.bytesLeft < e.maxPartSize*len(pieces) || len(pieces) > 1 && len(e.order)+len(pieces) > e.maxParts {
 		return nil
 	}
 	for i, machines := range pieces {
 		if i > 0 {
-			key = [2]int{inventory, e.vacant(inventory)}
+			key = [2]int{inventory, e.freePart(inventory)}
 		}
-		e.ops--
-		e.bytes -= e.most
+		e.partsLeft--
+		e.bytesLeft -= e.maxPartSize
 		e.drafts[key] = &InventoryPart{Machines: machines}
 		e.order = append(e.order, key)
 	}
 	return e.drafts[[2]int{inventory, part}]
 }
 
-// room finds a part of an inventory that can take one more machine: one that is to
-// be written anyway, else the first, else a new one.
-func (e *Edit) room(inventory int, m *Machine) *InventoryPart {
+// partWithSpace returns a draft with space for one more machine: a part that is written anyway,
+// else the first existing one with space, else a new one.
+func (e *Edit) partWithSpace(inventory int, m *Machine) *InventoryPart {
 	parts := e.mirror.Inventory(inventory).parts
 	for _, key := range e.order {
-		if p := e.drafts[key]; key[0] == inventory && p.size()+m.size() <= e.most {
+		if p := e.drafts[key]; key[0] == inventory && p.size()+m.size() <= e.maxPartSize {
 			return p
 		}
 	}
-	first, step := e.lanes(inventory)
+	first, step := e.stripeOf(inventory)
 	for k := first; ; k += step {
 		if e.drafts[[2]int{inventory, k}] != nil {
 			continue
 		}
-		have, ok := parts[k]
-		if !ok || have.Record.size()+m.size() <= e.most {
+		current, ok := parts[k]
+		if !ok || current.Record.size()+m.size() <= e.maxPartSize {
 			return e.draft(inventory, k)
 		}
 	}
 }
 
-// partOf returns the part in which a machine is as edited so far, or -1.
+// partOf returns the number of the part that holds a machine as edited so far, or -1.
 func (e *Edit) partOf(inventory int, id core.MachineID) int {
 	for _, key := range e.order {
 		if key[0] == inventory && e.drafts[key].find(id) >= 0 {
 			return key[1]
 		}
 	}
-	if k, ok := e.mirror.Inventory(inventory).place[id]; ok && e.drafts[[2]int{inventory, k}] == nil {
+	if k, ok := e.mirror.Inventory(inventory).partIndex[id]; ok && e.drafts[[2]int{inventory, k}] == nil {
 		return k
 	}
 	return -1
@@ -157,7 +159,7 @@
 	return p.Machines[p.find(id)], true
 }
 
-// All lists an inventory's machines as edited so far.
+// All returns the machines of an inventory as edited so far.
 func (e *Edit) All(inventory int) (out []Machine) {
 	parts := e.mirror.Inventory(inventory).parts
 	for _, k := range core.SortedKeys(parts) {
@@ -173,10 +175,10 @@
 	return out
 }
 
-// Set replaces a machine's record. It reports false if that does not fit into
-// the transaction.
+// Set replaces a machine's record. It returns false if the change does not fit into the
+// transaction.
 func (e *Edit) Set(inventory int, m Machine) bool {
-	p := e.own(inventory, m.ID)
+	p := e.editablePart(inventory, m.ID)
 	if p == nil {
 		return false
 	}
@@ -184,10 +186,10 @@
 	return true
 }
 
-// Add puts a machine that is in no inventory into one. The version of no part says
-// that this has not been done elsewhere, so the transaction also raises the
-// count of arrivals: of two that were decided from the same picture, one of
-// them perhaps carried out late, only one can take effect.
+// Add adds a machine that is in no inventory. No part's version proves that the machine has not
+// been added elsewhere, so the transaction also increments the addition counter: of two
+// transactions that were prepared from the same revision, one of which may be executed late, only
+// one can be committed.
 func (e *Edit) Add(inventory int, m Machine) bool {
 	if !e.insert(inventory, m) {
 		return false
@@ -197,7 +199,7 @@
 }
 
 func (e *Edit) insert(inventory int, m Machine) bool {
-	p := e.room(inventory, &m)
+	p := e.partWithSpace(inventory, &m)
 	if p == nil {
 		return false
 	}
@@ -205,12 +207,13 @@
 	return true
 }
 
-// Remove takes a machine out of an inventory.
+// Remove removes a machine from an inventory. It returns false if the change does not fit into the
+// transaction.
 func (e *Edit) Remove(inventory int, id core.MachineID) bool {
 	if e.partOf(inventory, id) < 0 {
 		return true
 	}
-	p := e.own(inventory, id)
+	p := e.editablePart(inventory, id)
 	if p == nil {
 		return false
 	}
@@ -219,36 +222,35 @@
 	return true
 }
 
-// Move takes a machine out of one inventory and puts it, as m says, into another:
-// both or, if the transaction is full, neither.
+// Move removes a machine from one inventory and adds it with the record m to another. It does both
+// or, if the transaction is full, neither.
 func (e *Edit) Move(from, to int, m Machine) bool {
-	if e.own(from, m.ID) == nil {
+	if e.editablePart(from, m.ID) == nil {
 		return false
 	}
-	// A record that is left of an earlier stay is replaced.
+	// A record left over from an earlier stay in the inventory is replaced.
 	if !e.Set(to, m) && !e.insert(to, m) {
 		return false
 	}
 	return e.Remove(from, m.ID)
 }
 
-// Apply adds the changes to a transaction. What was drafted and left as it was
-// is not written.
+// Apply adds the changes to a transaction. Drafts that equal the stored part are not written.
 func (e *Edit) Apply(t *api.Txn) {
 	if e.added {
-		c := e.mirror.arrivals
-		t.If = append(t.If, api.Condition{Key: keyArrivals, Version: uint64(c.Version)})
-		t.Then = append(t.Then, Put(keyArrivals, AdditionCounter{c.Record.Count + 1}))
+		c := e.mirror.additions
+		t.If = append(t.If, api.Condition{Key: keyAdditions, Version: uint64(c.Version)})
+		t.Then = append(t.Then, Put(keyAdditions, AdditionCounter{c.Record.Count + 1}))
 	}
 	for _, key := range e.order {
-		have := e.mirror.Inventory(key[0]).parts[key[1]]
+		current := e.mirror.Inventory(key[0]).parts[key[1]]
 		put := Put(keyPart(key[0], key[1]), e.drafts[key])
-		if have.Record != nil {
-			if was, _ := json.Marshal(have.Record); string(was) == string(put.Value) {
+		if current.Record != nil {
+			if stored, _ := json.Marshal(current.Record); string(stored) == string(put.Value) {
 				continue
 			}
 		}
-		t.If = append(t.If, api.Condition{Key: put.Set, Version: uint64(have.Version)})
+		t.If = append(t.If, api.Condition{Key: put.Set, Version: uint64(current.Version)})
 		t.Then = append(t.Then, put)
 	}
 }
--- a/internal/state/inventory.go
+++ b/internal/state/inventory.go
@@ -9,16 +9,17 @@
 	"lichenstair/internal/core"
 )
 
-// PoolInventory is the number of the pool among the inventories; blocks have their own.
+// PoolInventory is the inventory number of the pool; the inventory of a block has the block's
+// number.
 const PoolInventory = -1
 
-// Inventory holds the machines of a block or of the pool in parts, each of which is
-// one value of the state service, so that no number of machines is too large.
-// A part, once made, is never removed: a late creation could otherwise find its
-// key missing again, and bring back what has changed since.
+// Inventory holds the machines of a block or of the pool. They are divided into parts, each of
+// which is one value of the state service, so that the value limit does not limit the number of
+// machines. A part is never removed once it exists: a delayed transaction that creates it would
+// otherwise find its key missing again and restore outdated records.
 type Inventory struct {
-	parts map[int]Versioned[*InventoryPart]
-	place map[core.MachineID]int // the part of each machine
+	parts     map[int]Versioned[*InventoryPart]
+	partIndex map[core.MachineID]int // number of the part that holds each machine
 }
 
 // InventoryPart is the record of one part of an inventory.
@@ -26,7 +27,7 @@
 	Machines []Machine `json:"machines"`
 }
 
-// find returns the place of a machine in the part, or -1.
+// find returns the index of a machine in the part, or -1.
 func (p *InventoryPart) find(id core.MachineID) int {
 	for i := range p.Machines {
 		if p.Machines[i].ID == id {
@@ -36,7 +37,7 @@
 	return -1
 }
 
-// size estimates the length of the part's record.
+// size estimates the encoded length of the part, in bytes.
 func (p *InventoryPart) size() int {
 	n := 32
 	for i := range p.Machines {
@@ -45,17 +46,17 @@
 	return n
 }
 
-// size estimates the length of a machine's record when all of it is filled in.
+// size estimates the encoded length of the machine's record with all fields set, in bytes.
 func (m *Machine) size() int {
 	return 170 + len(m.ID) + max(len(m.Addr), 24) + len(m.Type) + len(m.Zone)
 }
 
-// Len counts the machines.
-func (s *Inventory) Len() int { return len(s.place) }
+// Len returns the number of machines.
+func (s *Inventory) Len() int { return len(s.partIndex) }
 
 // Find returns a machine's record.
 func (s *Inventory) Find(id core.MachineID) (Machine, bool) {
-	k, ok := s.place[id]
+	k, ok := s.partIndex[id]
 	if !ok {
 		return Machine{}, false
 	}
@@ -63,16 +64,16 @@
 	return p.Machines[p.find(id)], true
 }
 
-// VersionOf returns the version of the part in which a machine is; 0: none.
+// VersionOf returns the version of the part that holds a machine, 0 if there is none.
 func (s *Inventory) VersionOf(id core.MachineID) core.Revision {
-	k, ok := s.place[id]
+	k, ok := s.partIndex[id]
 	if !ok {
 		return 0
 	}
 	return s.parts[k].Version
 }
 
-// All lists the machines in the order of the parts.
+// All iterates over the machines in the order of the parts.
 func (s *Inventory) All() iter.Seq[Machine] {
 	return func(yield func(Machine) bool) {
 		for _, k := range core.SortedKeys(s.parts) {
@@ -85,35 +86,35 @@
 	}
 }
 
-// put takes in a part as the state service has it.
+// put stores a part as read from the state service.
 func (s *Inventory) put(k int, p *InventoryPart, v core.Revision) {
 	if old, ok := s.parts[k]; ok {
 		for _, m := range old.Record.Machines {
-			if s.place[m.ID] == k {
-				delete(s.place, m.ID)
+			if s.partIndex[m.ID] == k {
+				delete(s.partIndex, m.ID)
 			}
 		}
 	}
 	s.parts[k] = Versioned[*InventoryPart]{p, v}
 	for _, m := range p.Machines {
-		s.place[m.ID] = k
+		s.partIndex[m.ID] = k
 	}
 }
 
 func newInventory() *Inventory {
-	return &Inventory{parts: map[int]Versioned[*InventoryPart]{}, place: map[core.MachineID]int{}}
+	return &Inventory{parts: map[int]Versioned[*InventoryPart]{}, partIndex: map[core.MachineID]int{}}
 }
 
 func keyPart(inventory, part int) string {
 	if inventory == PoolInventory {
-		return fmt.Sprintf("%spool/%d", machines, part)
+		return fmt.Sprintf("%spool/%d", machinePrefix, part)
 	}
-	return fmt.Sprintf("%s%d/%d", machines, inventory, part)
+	return fmt.Sprintf("%s%d/%d", machinePrefix, inventory, part)
 }
 
-// parsePart reads the key of a part.
+// parsePart parses the key of a part.
 func parsePart(key string) (inventory, part int, ok bool) {
-	name, num, ok := strings.Cut(strings.TrimPrefix(key, machines), "/")
+	name, num, ok := strings.Cut(strings.TrimPrefix(key, machinePrefix), "/")
 	part, err := strconv.Atoi(num)
 	if !ok || err != nil {
 		return 0, 0, false
@@ -125,6 +126,6 @@
 	return inventory, part, err == nil && inventory >= 0
 }
 
-// partBytes bounds a part. Every controller reads each changed part whole, so
-// parts are kept short even where longer values are allowed.
-const partBytes = 8 << 10
+// maxPartBytes limits the size of a part. Every controller reads each changed part whole, so parts
+// are kept short even where the service allows longer values.
+const maxPartBytes = 8 << 10
--- a/internal/state/inventory_test.go
+++ b/internal/state/inventory_test.go
@@ -12,26 +12,26 @@
 	"lichenstair/internal/core"
 )
 
-// ledger is a state service as far as transactions go.
-type ledger struct {
-	ring     uint64
+// txnStore is a state service that only executes transactions.
+type txnStore struct {
+	revision uint64
 	versions map[string]uint64
 }
 
-// apply carries a transaction out, if its conditions hold, and tells the mirror.
-func (l *ledger) apply(m *Mirror, t api.Txn) bool {
+// apply executes a transaction if its conditions hold, and applies its events to the replica.
+func (l *txnStore) apply(m *Mirror, t api.Txn) bool {
 	for _, c := range t.If {
 		if l.versions[c.Key] != c.Version {
 			return false
 		}
 	}
-	l.ring++
+	l.revision++
 	var events []api.Event
 	for _, c := range t.Then {
-		l.versions[c.Set] = l.ring
-		events = append(events, api.Event{Set: c.Set, Value: c.Value, Version: l.ring})
+		l.versions[c.Set] = l.revision
+		events = append(events, api.Event{Set: c.Set, Value: c.Value, Version: l.revision})
 	}
-	m.take(events)
+	m.applyEvents(events)
 	return true
 }
 
@@ -44,39 +44,39 @@
 	return m
 }
 
-func made(i int) Machine {
+func testMachine(i int) Machine {
 	return Machine{ID: core.MachineID(fmt.Sprintf("n-%06d", i)), Addr: "10.1.200.200:9000", Type: "a-large-machine", Zone: "a-zone-far-away", Spot: true}
 }
 
-// 600 machines must fit values of 8 KiB, within the limits of a transaction, and
-// moves at random must neither lose a machine nor have it twice: blocks were
-// one value of 46 machines each, the pool another, and the rest was of no use.
-func TestLargeFleetFitsTheValues(t *testing.T) {
+// 600 machines must fit into values of 8 KiB and within the transaction limits, and random moves
+// must neither lose nor duplicate a machine. A block once was one value, which holds 46 machines,
+// and so was the pool; further machines could not be used.
+func TestLargeFleetFitsValueLimit(t *testing.T) {
 	lim := config.StateLimits{ValueBytes: 8 << 10, TxnOps: 40}
 	const fleet, blocks, ops = 600, 3, 24
-	m, l := newTestMirror(blocks), &ledger{versions: map[string]uint64{}}
+	m, l := newTestMirror(blocks), &txnStore{versions: map[string]uint64{}}
 	commit := func(e *Edit) {
 		t.Helper()
 		var txn api.Txn
 		e.Apply(&txn)
 		raw, _ := json.Marshal(txn)
 		if len(txn.Then) > ops+1 || len(raw) > api.MaxBody {
-			t.Fatalf("%d changes, %d bytes in one transaction", len(txn.Then), len(raw))
+			t.Fatalf("transaction of %d writes and %d bytes exceeds its limits", len(txn.Then), len(raw))
 		}
 		for _, c := range txn.Then {
 			if len(c.Value) > lim.ValueBytes {
-				t.Fatalf("%s has %d bytes", c.Set, len(c.Value))
+				t.Fatalf("value of %s has %d bytes, which exceeds the limit", c.Set, len(c.Value))
 			}
 		}
 		if len(txn.Then) > 0 && !l.apply(m, txn) {
-			t.Fatal("a transaction from a fresh mirror did not apply")
+			t.Fatal("a transaction prepared from a current replica was not committed")
 		}
 	}
 	where := map[core.MachineID]int{}
 	for i := 0; i < fleet; {
 		e := m.Edit(lim, ops, 0)
-		for i < fleet && e.Add(PoolInventory, made(i)) {
-			where[made(i).ID] = PoolInventory
+		for i < fleet && e.Add(PoolInventory, testMachine(i)) {
+			where[testMachine(i).ID] = PoolInventory
 			i++
 		}
 		commit(e)
@@ -85,7 +85,7 @@
 	for range 200 {
 		e := m.Edit(lim, ops, r.IntN(blocks+1))
 		for range 1 + r.IntN(60) {
-			mc := made(r.IntN(fleet))
+			mc := testMachine(r.IntN(fleet))
 			to := r.IntN(blocks+1) - 1
 			mc.InUse, mc.Draining, mc.ReturnRequested, mc.Expiring, mc.Since, mc.LastTerm = true, true, true, true, 1_700_000_000_000, 1_000_000
 			from := where[mc.ID]
@@ -101,80 +101,80 @@
 			for mc := range m.Inventory(n).All() {
 				seen++
 				if where[mc.ID] != n {
-					t.Fatalf("%s is on inventory %d, not %d", mc.ID, n, where[mc.ID])
+					t.Fatalf("%s is in inventory %d, want %d", mc.ID, n, where[mc.ID])
 				}
 			}
 		}
 		if seen != fleet {
-			t.Fatalf("%d machines on the inventories", seen)
+			t.Fatalf("%d machines in the inventories, want all of the fleet", seen)
 		}
 	}
 }
 
-// Two transactions that bring the same machine, decided from the same picture,
-// must not both take effect, though they write different parts: the first one
-// may be carried out late, after it was given up.
-func TestMachineArrivesOnce(t *testing.T) {
+// Two transactions that add the same machine and were prepared from the same revision must not both
+// be committed, although they write different parts: the first one may be executed late, after the
+// client has given it up.
+func TestMachineIsAddedOnce(t *testing.T) {
 	lim := config.StateLimits{ValueBytes: 8 << 10, TxnOps: 40}
-	m, l := newTestMirror(2), &ledger{versions: map[string]uint64{}}
+	m, l := newTestMirror(2), &txnStore{versions: map[string]uint64{}}
 	var first, second api.Txn
 	e := m.Edit(lim, 10, 0)
-	e.Add(PoolInventory, made(1))
-	e.Move(PoolInventory, 0, made(1))
+	e.Add(PoolInventory, testMachine(1))
+	e.Move(PoolInventory, 0, testMachine(1))
 	e.Apply(&first)
 	e = m.Edit(lim, 10, 0)
-	e.Add(PoolInventory, made(1))
-	e.Move(PoolInventory, 1, made(1))
+	e.Add(PoolInventory, testMachine(1))
+	e.Move(PoolInventory, 1, testMachine(1))
 	e.Apply(&second)
 	if !l.apply(m, second) || l.apply(m, first) {
-		t.Fatal("the machine is in two blocks")
+		t.Fatal("both transactions that add the machine were committed, or neither")
 	}
-	// A late release must not apply once the machine's part has changed.
+	// A delayed release must not be committed once the machine's part has changed.
 	var release, raise api.Txn
 	e = m.Edit(lim, 10, 2)
-	e.Move(1, PoolInventory, made(1))
+	e.Move(1, PoolInventory, testMachine(1))
 	e.Apply(&release)
 	e = m.Edit(lim, 10, 0)
-	used := made(1)
+	used := testMachine(1)
 	used.InUse = true
 	e.Set(1, used)
 	e.Apply(&raise)
 	if !l.apply(m, raise) || l.apply(m, release) {
-		t.Fatal("a machine in use was released")
+		t.Fatal("a delayed release of a machine in use was committed")
 	}
 }
 
-// Parts written when values could be longer are written in pieces as soon as something on
-// them changes, whatever small transactions are left: the first change of a transaction
-// always finds room. No machine is lost or doubled meanwhile. A part that did not fit any
-// more could not be written at all: its machines were of no use to anybody.
-func TestLongPartsAreWrittenInPieces(t *testing.T) {
+// A part that was written under a larger value limit is rewritten in pieces as soon as one of its
+// machines changes, even with a small transaction limit: the first change of a transaction always
+// fits. No machine is lost or duplicated meanwhile. Without this, a part over the new limit could
+// not be written at all and its machines were unusable.
+func TestOversizedPartsAreSplit(t *testing.T) {
 	before, now := config.StateLimits{ValueBytes: 16 << 10, TxnOps: 32}, config.StateLimits{ValueBytes: 2 << 10, TxnOps: 10}
 	const fleet, blocks = 300, 5
-	m, l := newTestMirror(blocks), &ledger{versions: map[string]uint64{}}
+	m, l := newTestMirror(blocks), &txnStore{versions: map[string]uint64{}}
 	where := map[core.MachineID]int{}
 	commit := func(e *Edit, lim config.StateLimits) {
 		t.Helper()
 		var txn api.Txn
 		e.Apply(&txn)
 		if len(txn.Then) > lim.TxnOps-1 {
-			t.Fatalf("%d changes in one transaction", len(txn.Then))
+			t.Fatalf("transaction of %d writes exceeds the limit", len(txn.Then))
 		}
 		for _, c := range txn.Then {
 			if len(c.Value) > lim.ValueBytes {
-				t.Fatalf("%s has %d bytes", c.Set, len(c.Value))
+				t.Fatalf("value of %s has %d bytes, which exceeds the limit", c.Set, len(c.Value))
 			}
 		}
 		if len(txn.Then) > 0 && !l.apply(m, txn) {
-			t.Fatal("a transaction from a fresh mirror did not apply")
+			t.Fatal("a transaction prepared from a current replica was not committed")
 		}
 	}
 	for i := range fleet {
 		e := m.Edit(before, 5, 0)
-		e.Add(PoolInventory, made(i))
-		e.Move(PoolInventory, i%blocks, made(i))
+		e.Add(PoolInventory, testMachine(i))
+		e.Move(PoolInventory, i%blocks, testMachine(i))
 		commit(e, before)
-		where[made(i).ID] = i % blocks
+		where[testMachine(i).ID] = i % blocks
 	}
 	long := 0
 	for n := range blocks {
@@ -188,7 +188,7 @@
 	for range 600 {
 		e := m.Edit(now, 3, r.IntN(blocks+1))
 		for i := range 1 + r.IntN(4) {
-			mc := made(r.IntN(fleet))
+			mc := testMachine(r.IntN(fleet))
 			mc.InUse, mc.Since = true, core.WallTime(r.Int64N(1<<40))
 			from, to := where[mc.ID], r.IntN(blocks+1)-1
 			switch {
@@ -197,7 +197,7 @@
 					where[mc.ID] = to
 				}
 			case !e.Set(from, mc) && i == 0:
-				t.Fatalf("nothing can be written of %s", mc.ID)
+				t.Fatalf("the first change of a transaction does not fit: %s", mc.ID)
 			}
 		}
 		commit(e, now)
@@ -205,22 +205,22 @@
 		for n := PoolInventory; n < blocks; n++ {
 			for mc := range m.Inventory(n).All() {
 				if seen[mc.ID]++; where[mc.ID] != n || seen[mc.ID] > 1 {
-					t.Fatalf("%s is on inventory %d, not %d, or twice", mc.ID, n, where[mc.ID])
+					t.Fatalf("%s is in inventory %d, want %d, or it is duplicated", mc.ID, n, where[mc.ID])
 				}
 			}
 		}
 		if len(seen) != fleet {
-			t.Fatalf("%d machines on the inventories", len(seen))
+			t.Fatalf("%d machines in the inventories, want all of the fleet", len(seen))
 		}
 	}
 	for n := PoolInventory; n < blocks; n++ {
 		for k, p := range m.Inventory(n).parts {
 			if p.Record.size() > now.ValueBytes {
-				t.Errorf("part %d of inventory %d is still too long", k, n)
+				t.Errorf("part %d of inventory %d still exceeds the value limit", k, n)
 			}
 		}
 	}
 	if long < blocks {
-		t.Fatalf("only %d parts were too long at first", long)
+		t.Fatalf("only %d parts exceeded the value limit at first", long)
 	}
 }
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -15,26 +15,26 @@
 	Version core.Revision
 }
 
-// mirrorPhase is the state of the mirror.
+// mirrorPhase is the phase of the replica.
 type mirrorPhase int
 
 const (
-	loading   mirrorPhase = iota // reads all keys
-	following                    // a watch feeds it
+	loading  mirrorPhase = iota // all keys are being read
+	watching                    // a watch supplies the changes
 )
 
-// Mirror is this node's copy of all keys.
+// Mirror is this node's local replica of all keys.
 type Mirror struct {
 	loop   core.Loop
 	client *Client
 	log    *slog.Logger
 
-	phase    mirrorPhase
-	complete bool // has once held everything up to some revision
-	ring     core.Revision
-	loadTo   core.Revision // a watch that is opened before that is reached does not wait
-	loads    int           // how often all keys were read
-	// catchingUp: a watch that does not wait is under way.
+	phase          mirrorPhase
+	complete       bool // has once held all keys up to some revision
+	revision       core.Revision
+	targetRevision core.Revision // a watch opened below this revision does not block
+	loadCount      int           // how often all keys were read
+	// catchingUp: a non-blocking watch is in flight.
 	catchingUp bool
 	epoch      int
 
@@ -46,42 +46,43 @@
 	Jobs              map[core.JobID]*JobEntry
 	CompletionBatches map[int]map[string]*CompletionBatch
 
-	dependents  map[core.JobID][]core.JobID // of jobs that are not known to be over
+	dependents  map[core.JobID][]core.JobID // of jobs that are not known to be finished
 	inventories map[int]*Inventory
-	arrivals    Versioned[AdditionCounter]
+	additions   Versioned[AdditionCounter]
 	versions    map[string]core.Revision
 
-	// OnChange is called after changes have been taken in, with what they touched.
+	// OnChange is called after a batch of events was applied, with the records that it changed.
 	OnChange func(ChangeSet)
 
-	fresh    core.Time // the mirror shows everything up to this time, at least
-	hasFresh bool
-	waiting  []func(bool)
-	asking   bool
-	awaiting []await
+	freshAsOf       core.Time // the replica was complete up to this time or later
+	everFresh       bool
+	pendingProofs   []func(bool)
+	proofInFlight   bool
+	revisionWaiters []revisionWaiter
 }
 
-// JobEntry is a job with the tasks known to be durably done.
+// JobEntry is a job with those of its tasks that are durably recorded as done.
 type JobEntry struct {
 	Job
 	Version core.Revision
 	Done    core.IndexSet
 	Urgency Urgency
 
-	needs     []core.JobID // jobs that have to be done first
-	withdrawn bool         // cancelled with one of them
+	dependencies        []core.JobID // jobs that must be done first
+	dependencyCancelled bool         // cancelled because a dependency was
 }
 
 const (
-	watchBlock = 5 * time.Second
-	watchPause = 25 * time.Millisecond
-	freshWait  = 2 * time.Second
-	// catchUpAfter is how long a watch may take to bring what is known to have happened.
-	catchUpAfter = time.Second
-	maxWaiting   = 500
+	watchTimeout = 5 * time.Second
+	watchPause   = 25 * time.Millisecond
+	proofTimeout = 2 * time.Second
+	// catchUpAfter is how long after a proof the watch may take to deliver the proven revision
+	// before a non-blocking watch is opened.
+	catchUpAfter     = time.Second
+	maxPendingProofs = 500
 )
 
-// NewMirror makes an empty mirror; Start fills it.
+// NewMirror returns an empty replica; Start fills it.
 func NewMirror(loop core.Loop, client *Client, log *slog.Logger) *Mirror {
 	m := &Mirror{loop: loop, client: client, log: log}
 	m.reset()
@@ -90,7 +91,7 @@
 
 func (m *Mirror) reset() {
 	m.Leader, m.Term = Versioned[*Leader]{}, Versioned[TermCounter]{}
-	m.inventories, m.arrivals = map[int]*Inventory{}, Versioned[AdditionCounter]{}
+	m.inventories, m.additions = map[int]*Inventory{}, Versioned[AdditionCounter]{}
 	m.Members = map[core.Host]Versioned[Member]{}
 	m.Blocks = map[int]Versioned[*Block]{}
 	if m.Jobs == nil {
@@ -100,22 +101,22 @@
 	m.versions = map[string]core.Revision{}
 }
 
-// Start loads all keys and follows them from then on.
-func (m *Mirror) Start() { m.become(loading) }
+// Start loads all keys and watches them from then on.
+func (m *Mirror) Start() { m.setPhase(loading) }
 
-// become is the one place where the mirror's phase changes.
-func (m *Mirror) become(p mirrorPhase) {
+// setPhase enters a phase. No other function changes the phase.
+func (m *Mirror) setPhase(p mirrorPhase) {
 	m.phase = p
 	m.epoch++
 	switch p {
 	case loading:
 		m.loadPage("", m.epoch, nil)
-	case following:
-		m.follow(m.epoch, 0)
+	case watching:
+		m.watch(m.epoch, 0)
 	}
 }
 
-func (m *Mirror) loadPage(from string, epoch int, got []api.ItemPage) {
+func (m *Mirror) loadPage(from string, epoch int, pages []api.ItemPage) {
 	m.client.Page(root, from, func(p api.ItemPage, ok bool) {
 		if epoch != m.epoch {
 			return
@@ -123,43 +124,43 @@
 		if !ok {
 			m.loop.After(300*time.Millisecond, func() {
 				if epoch == m.epoch {
-					m.become(loading)
+					m.setPhase(loading)
 				}
 			})
 			return
 		}
-		got = append(got, p)
+		pages = append(pages, p)
 		if p.More && len(p.Items) > 0 {
-			m.loadPage(p.Items[len(p.Items)-1].Key, epoch, got)
+			m.loadPage(p.Items[len(p.Items)-1].Key, epoch, pages)
 			return
 		}
 		m.reset()
-		m.loads++
+		m.loadCount++
 		var events []api.Event
-		for _, page := range got {
+		for _, page := range pages {
 			for _, it := range page.Items {
 				events = append(events, api.Event{Set: it.Key, Value: it.Value, Version: it.Version})
 			}
 		}
-		// Pages are read one after the other; what changed in between comes
-		// again through the watch, which starts at the first page's revision.
-		m.ring, m.loadTo = core.Revision(got[0].Revision), core.Revision(p.Revision)
-		m.take(events)
-		m.become(following)
+		// Pages are read one after the other. Changes made in between are delivered again by the
+		// watch, which starts at the first page's revision.
+		m.revision, m.targetRevision = core.Revision(pages[0].Revision), core.Revision(p.Revision)
+		m.applyEvents(events)
+		m.setPhase(watching)
 	})
 }
 
-func (m *Mirror) follow(epoch int, failures int) {
-	block, loads := watchBlock, m.loads
-	m.catchingUp = m.ring < m.loadTo || !m.complete
+func (m *Mirror) watch(epoch int, failures int) {
+	block, loadCount := watchTimeout, m.loadCount
+	m.catchingUp = m.revision < m.targetRevision || !m.complete
 	if m.catchingUp {
 		block = 0
 	}
-	m.client.Watch(root, m.ring, block, func(a api.WatchResponse, ok, gone bool) {
-		// Also the answer to a watch that was given up tells what has happened, as long as
-		// the keys were not read again: a page may be older than that.
-		if ok && m.phase == following && loads == m.loads {
-			m.advance(core.Revision(a.Revision), a.Events)
+	m.client.Watch(root, m.revision, block, func(a api.WatchResponse, ok, gone bool) {
+		// The response to an abandoned watch is applied too, unless all keys were reloaded since:
+		// the pages may be older than its events.
+		if ok && m.phase == watching && loadCount == m.loadCount {
+			m.applyWatch(core.Revision(a.Revision), a.Events)
 		}
 		if epoch != m.epoch {
 			return
@@ -167,44 +168,44 @@
 		m.catchingUp = false
 		switch {
 		case gone:
-			m.log.Info("the state service no longer keeps the changes we missed; reading all keys again")
-			m.become(loading)
+			m.log.Info("state service no longer has the changes since our revision; reloading all keys")
+			m.setPhase(loading)
 		case !ok:
 			if failures >= 8 {
-				m.become(loading)
+				m.setPhase(loading)
 				return
 			}
 			wait := min(100*time.Millisecond<<min(failures, 4), time.Second)
 			m.loop.After(wait, func() {
 				if epoch == m.epoch {
-					m.follow(epoch, failures+1)
+					m.watch(epoch, failures+1)
 				}
 			})
 		default:
 			m.loop.After(max(watchPause, m.client.ReadInterval()), func() {
 				if epoch == m.epoch {
-					m.follow(epoch, 0)
+					m.watch(epoch, 0)
 				}
 			})
 		}
 	})
 }
 
-// advance takes in what a watch has brought. Its answer holds all changes since a revision
-// that the mirror had reached, so one that comes after a newer one tells nothing new.
-func (m *Mirror) advance(ring core.Revision, events []api.Event) {
-	if ring < m.ring {
+// applyWatch applies a watch response. It holds all changes since a revision that the replica had
+// reached, so a response that arrives after a newer one adds nothing.
+func (m *Mirror) applyWatch(revision core.Revision, events []api.Event) {
+	if revision < m.revision {
 		return
 	}
-	m.ring = ring
-	if m.ring >= m.loadTo {
+	m.revision = revision
+	if m.revision >= m.targetRevision {
 		m.complete = true
 	}
-	m.take(events)
-	m.settle()
+	m.applyEvents(events)
+	m.notifyWaiters()
 }
 
-// TeamBlock returns the block to which a team belongs.
+// TeamBlock returns the block to which a team is assigned.
 func (m *Mirror) TeamBlock(team string) (int, bool) {
 	for n, b := range m.Blocks {
 		for _, t := range b.Record.Teams {
@@ -216,15 +217,15 @@
 	return 0, false
 }
 
-// Teams adds to the stated teams those that the settings no longer name. Their jobs
-// are served within the limit they had, without a guarantee; forgotten, they would wait
-// for ever.
-func (m *Mirror) Teams(stated []config.Team) []config.Team {
+// Teams returns the configured teams and those that are no longer configured but still assigned to
+// a block. Jobs of the latter are served within their last limit and without a guarantee; otherwise
+// they would wait forever.
+func (m *Mirror) Teams(configured []config.Team) []config.Team {
 	known := map[string]bool{}
-	for _, t := range stated {
+	for _, t := range configured {
 		known[t.Name] = true
 	}
-	out := stated[:len(stated):len(stated)]
+	out := configured[:len(configured):len(configured)]
 	for _, n := range core.SortedKeys(m.Blocks) {
 		for _, name := range m.Blocks[n].Record.Teams {
 			if l, ok := m.Blocks[n].Record.Limits[name]; ok && !known[name] {
@@ -235,7 +236,7 @@
 	return out
 }
 
-// Inventory returns the machines of a block or, for PoolInventory, of the pool.
+// Inventory returns the inventory of block n or, for PoolInventory, of the pool.
 func (m *Mirror) Inventory(n int) *Inventory {
 	s := m.inventories[n]
 	if s == nil {
@@ -245,15 +246,15 @@
 	return s
 }
 
-// MachineBlock returns the block to which a machine belongs.
+// MachineBlock returns the block that holds a machine.
 func (m *Mirror) MachineBlock(id core.MachineID) (int, bool) {
 	for n := range m.Blocks {
-		if _, ok := m.Inventory(n).place[id]; ok {
+		if _, ok := m.Inventory(n).partIndex[id]; ok {
 			return n, true
 		}
 	}
 	return 0, false
 }
 
-// Complete tells whether the mirror has once held every key.
+// Complete reports whether the replica has once held all keys up to some revision.
 func (m *Mirror) Complete() bool { return m.complete }
--- a/internal/state/previous_test.go
+++ b/internal/state/previous_test.go
@@ -10,9 +10,9 @@
 	"lichenstair/internal/core"
 )
 
-// Records as the version in production wrote them (deploy/service.toml) are read, and
-// what is written from them is what that version would have written, field by field. The
-// one new field, `ended` in the record of a done job, is one that it passes over.
+// Records of the version in production (deploy/service.toml) can be read, and writing them again
+// yields the same bytes. The one new field, `ended` in the record of a done job, is one that the
+// previous version ignores.
 func TestRecordsOfThePreviousVersion(t *testing.T) {
 	raw, err := os.ReadFile("testdata/previous.json")
 	if err != nil {
@@ -27,13 +27,13 @@
 	for i, key := range core.SortedKeys(records) {
 		events = append(events, api.Event{Set: key, Value: records[key], Version: uint64(i + 1)})
 	}
-	m.take(events)
+	m.applyEvents(events)
 	job := m.Jobs["req-000412"]
 	if at, ok := m.ReadyAt(job); !ok || at != 1700000000123 || job.Finished() || job.Done.Len() != 3 || *job.Spec.DeadlineS != 120.5 {
-		t.Fatalf("%+v", job)
+		t.Fatalf("accepted job read as %+v", job)
 	}
 	if !m.Jobs["req-000398"].Finished() || m.Jobs["req-000398"].Cancelled() || !m.Jobs["req-000399"].Cancelled() {
-		t.Fatal("jobs that are over")
+		t.Fatal("wrong phases of finished jobs")
 	}
 	part := func(inventory, k int) *InventoryPart { return m.inventories[inventory].parts[k].Record }
 	var types []api.MachineType
@@ -44,10 +44,10 @@
 		KeyJob("req-000412"): job.Job, KeyJob("req-000398"): m.Jobs["req-000398"].Job, KeyJob("req-000399"): job.End(JobCancelled, 0),
 		KeyBlock(1): m.Blocks[1].Record, keyPart(1, 0): part(1, 0), keyPart(PoolInventory, 2): part(PoolInventory, 2),
 		KeyCompletionBatch(1, 41, 3): m.CompletionBatches[1][KeyCompletionBatch(1, 41, 3)], KeyTerm: m.Term.Record, KeyLeader: m.Leader.Record,
-		KeyMember("stalk-0"): m.Members["stalk-0"].Record, keyArrivals: m.arrivals.Record, KeyTypes: types,
+		KeyMember("stalk-0"): m.Members["stalk-0"].Record, keyAdditions: m.additions.Record, KeyTypes: types,
 	}
 	if len(written) != len(records) {
-		t.Fatalf("%d of %d kinds of record are compared", len(written), len(records))
+		t.Fatalf("%d of %d kinds of records are compared", len(written), len(records))
 	}
 	for key, record := range written {
 		var want bytes.Buffer
@@ -58,7 +58,7 @@
 			t.Errorf("%s is written as\n%s, the previous version wrote\n%s", key, got, want.String())
 		}
 	}
-	// What the previous version knows of a job that is done.
+	// The fields that the previous version reads from the record of a done job.
 	var previous struct {
 		Phase    JobPhase
 		Tasks    int
--- a/internal/state/proof.go
+++ b/internal/state/proof.go
@@ -7,116 +7,118 @@
 	"lichenstair/internal/core"
 )
 
-type await struct {
-	ring core.Revision
-	due  core.Time
-	done func(bool)
+type revisionWaiter struct {
+	revision core.Revision
+	deadline core.Time
+	done     func(bool)
 }
 
-// HasReached tells whether the mirror shows everything up to a revision.
-func (m *Mirror) HasReached(r core.Revision) bool { return m.complete && m.ring >= r }
+// HasReached reports whether the replica is complete up to a revision.
+func (m *Mirror) HasReached(r core.Revision) bool { return m.complete && m.revision >= r }
 
-// Revision returns the revision that the mirror has reached.
-func (m *Mirror) Revision() core.Revision { return m.ring }
+// Revision returns the revision that the replica has reached.
+func (m *Mirror) Revision() core.Revision { return m.revision }
 
-// FreshAsOf returns a time up to which the mirror is known to show everything.
-func (m *Mirror) FreshAsOf() (core.Time, bool) { return m.fresh, m.hasFresh }
+// FreshAsOf returns the latest time up to which the replica is known to have been complete, and
+// false if freshness was never confirmed.
+func (m *Mirror) FreshAsOf() (core.Time, bool) { return m.freshAsOf, m.everFresh }
 
-// WaitFor calls done(true) once the mirror has reached a revision, or done(false)
-// when that takes too long.
-func (m *Mirror) WaitFor(ring core.Revision, done func(bool)) {
-	if m.HasReached(ring) {
+// WaitFor calls done(true) once the replica has reached a revision, or done(false) after
+// proofTimeout.
+func (m *Mirror) WaitFor(revision core.Revision, done func(bool)) {
+	if m.HasReached(revision) {
 		done(true)
 		return
 	}
-	due := m.loop.Now().Add(freshWait)
-	m.awaiting = append(m.awaiting, await{ring, due, done})
-	m.loop.After(freshWait, m.settle)
+	deadline := m.loop.Now().Add(proofTimeout)
+	m.revisionWaiters = append(m.revisionWaiters, revisionWaiter{revision, deadline, done})
+	m.loop.After(proofTimeout, m.notifyWaiters)
 }
 
-func (m *Mirror) settle() {
+func (m *Mirror) notifyWaiters() {
 	now := m.loop.Now()
 	var ready []func()
-	keep := m.awaiting[:0:0]
-	for _, a := range m.awaiting {
+	keep := m.revisionWaiters[:0:0]
+	for _, waiter := range m.revisionWaiters {
 		switch {
-		case m.HasReached(a.ring):
-			ready = append(ready, func() { a.done(true) })
-		case now >= a.due:
-			ready = append(ready, func() { a.done(false) })
+		case m.HasReached(waiter.revision):
+			ready = append(ready, func() { waiter.done(true) })
+		case now >= waiter.deadline:
+			ready = append(ready, func() { waiter.done(false) })
 		default:
-			keep = append(keep, a)
+			keep = append(keep, waiter)
 		}
 	}
-	m.awaiting = keep
+	m.revisionWaiters = keep
 	for _, f := range ready {
 		f()
 	}
 }
 
-// ConfirmFresh calls done(true) once the mirror shows everything that had happened
-// when ConfirmFresh was called. All who ask meanwhile share one question to the state
-// service: a transaction without changes, whose revision the mirror must reach.
+// ConfirmFresh calls done(true) once the replica shows everything that had been committed when
+// ConfirmFresh was called. Concurrent callers share one request to the state service: a transaction
+// without writes, whose revision the replica must reach.
 func (m *Mirror) ConfirmFresh(done func(bool)) {
-	if len(m.waiting) >= maxWaiting {
+	if len(m.pendingProofs) >= maxPendingProofs {
 		done(false)
 		return
 	}
-	m.waiting = append(m.waiting, done)
-	if !m.asking {
-		m.ask()
+	m.pendingProofs = append(m.pendingProofs, done)
+	if !m.proofInFlight {
+		m.requestProof()
 	}
 }
 
-func (m *Mirror) ask() {
-	batch := m.waiting
-	m.waiting = nil
-	m.asking = true
-	answer := func(ok bool) {
-		for _, f := range batch {
+func (m *Mirror) requestProof() {
+	callbacks := m.pendingProofs
+	m.pendingProofs = nil
+	m.proofInFlight = true
+	reply := func(ok bool) {
+		for _, f := range callbacks {
 			f(ok)
 		}
 	}
-	asked := core.Time(0)
-	m.client.index(func() { asked = m.loop.Now() }, func(r Result) {
-		m.asking = false
+	sentAt := core.Time(0)
+	m.client.readIndex(func() { sentAt = m.loop.Now() }, func(r Result) {
+		m.proofInFlight = false
 		if r.Outcome == Applied || r.Outcome == Conflict {
 			m.WaitFor(r.Revision, func(ok bool) {
-				if ok && (!m.hasFresh || asked > m.fresh) {
-					m.fresh, m.hasFresh = asked, true
+				if ok && (!m.everFresh || sentAt > m.freshAsOf) {
+					m.freshAsOf, m.everFresh = sentAt, true
 				}
-				answer(ok)
+				reply(ok)
 			})
 			m.loop.After(catchUpAfter, func() { m.catchUp(r.Revision) })
 		} else {
-			answer(false)
+			reply(false)
 		}
-		if len(m.waiting) > 0 && !m.asking {
-			m.asking = true
-			m.loop.After(m.client.ReadInterval(), m.ask)
+		if len(m.pendingProofs) > 0 && !m.proofInFlight {
+			m.proofInFlight = true
+			m.loop.After(m.client.ReadInterval(), m.requestProof)
 		}
 	})
 }
 
-// catchUp asks for the changes up to a revision that the watch has not brought. Its
-// connection may hang, or there is nothing to bring: a transaction that is carried out late
-// and changes nothing can raise the revision all the same, and a watch that waits for a
-// change then answers only when its time is over. Opened anew with each proof that failed,
-// it never got that far, and no controller could answer anybody until something else was
-// written. So this watch does not wait, and is left alone until it is answered.
+// catchUp requests the changes up to a revision that the watch has not delivered. Its connection
+// may hang, or there may be no change to deliver: a transaction that is executed late and changes
+// nothing can raise the revision, and a blocking watch then responds only when its timeout ends.
+// When a watch was reopened after every failed proof, none lived that long, and no controller could
+// answer requests until another key was written. So this watch does not block, and is not replaced
+// until it is answered.
 func (m *Mirror) catchUp(to core.Revision) {
-	if m.HasReached(to) || m.phase != following || m.catchingUp {
+	if m.HasReached(to) || m.phase != watching || m.catchingUp {
 		return
 	}
-	m.loadTo = max(m.loadTo, to)
-	m.become(following)
+	m.targetRevision = max(m.targetRevision, to)
+	m.setPhase(watching)
 }
 
-// index sends the compare-only transaction; sending runs just before.
-func (c *Client) index(sending func(), done func(Result)) {
-	body, _ := json.Marshal(api.Txn{If: []api.Condition{{Key: keyNever}}})
-	c.enqueue(reads, 0, func() {
-		sending()
+// readIndex sends a transaction without writes, whose response carries the current revision;
+// beforeSend is called just before it is sent.
+func (c *Client) readIndex(beforeSend func(), done func(Result)) {
+	body, _ := json.Marshal(api.Txn{If: []api.Condition{{Key: keyNonexistent}}})
+	c.enqueue(classRead, 0, func() {
+		beforeSend()
 		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: "/txn", Body: body, Timeout: txnTimeout}, func(r core.Response) {
 			done(txnResult(r))
 		})
--- a/internal/state/rates.go
+++ b/internal/state/rates.go
@@ -7,31 +7,31 @@
 	"lichenstair/internal/core"
 )
 
-// bucket is a token bucket that holds one second's worth.
+// bucket is a token bucket with a capacity of one second's tokens.
 type bucket struct {
-	loop  core.Loop
-	rate  float64
-	level float64
-	at    core.Time
+	loop      core.Loop
+	rate      float64
+	level     float64
+	updatedAt core.Time
 }
 
 func newBucket(loop core.Loop, rate float64) *bucket {
-	return &bucket{loop: loop, rate: rate, level: max(rate, 1), at: loop.Now()}
+	return &bucket{loop: loop, rate: rate, level: max(rate, 1), updatedAt: loop.Now()}
 }
 
-func (b *bucket) fill() {
+func (b *bucket) refill() {
 	now := b.loop.Now()
-	b.level = min(max(b.rate, 1), b.level+now.Sub(b.at).Seconds()*b.rate)
-	b.at = now
+	b.level = min(max(b.rate, 1), b.level+now.Sub(b.updatedAt).Seconds()*b.rate)
+	b.updatedAt = now
 }
 
-// wait tells how long until n can be taken. More than the bucket holds is let
-// through once it is full, and paid for afterwards.
+// wait returns how long until n tokens can be taken. A request for more than the capacity is
+// admitted when the bucket is full and leaves a negative level.
 func (b *bucket) wait(n float64) time.Duration {
 	if n == 0 {
 		return 0
 	}
-	b.fill()
+	b.refill()
 	short := min(n, max(b.rate, 1)) - b.level
 	if short <= 0 {
 		return 0
@@ -43,23 +43,23 @@
 
 // setRate changes the rate from now on.
 func (b *bucket) setRate(rate float64) {
-	b.fill()
+	b.refill()
 	b.rate = rate
 	b.level = min(b.level, max(rate, 1))
 }
 
-// rateMeter measures how often something happens, over the last seconds.
+// rateMeter measures an event rate with an exponentially decaying average over meterWindow.
 type rateMeter struct {
-	sum float64
-	at  core.Time
+	sum       float64
+	updatedAt core.Time
 }
 
-const meterTime = 3 * time.Second
+const meterWindow = 3 * time.Second
 
 func (m *rateMeter) rate(now core.Time) float64 {
-	m.sum *= math.Exp(-now.Sub(m.at).Seconds() / meterTime.Seconds())
-	m.at = now
-	return m.sum / meterTime.Seconds()
+	m.sum *= math.Exp(-now.Sub(m.updatedAt).Seconds() / meterWindow.Seconds())
+	m.updatedAt = now
+	return m.sum / meterWindow.Seconds()
 }
 
 func (m *rateMeter) add(now core.Time, n float64) {
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -12,133 +12,133 @@
 	"lichenstair/internal/core"
 )
 
-// All keys stand below one root, so that one watch sees them all in order.
+// All keys share one prefix, so that a single watch delivers their changes in order.
 const (
-	root      = "lichenstair/"
-	KeyLeader = root + "leader"
-	KeyTerm   = root + "term"
-	KeyTypes  = root + "types"
-	members   = root + "member/"
-	blocks    = root + "block/"
-	machines  = root + "machines/"
-	jobs      = root + "job/"
-	rounds    = root + "round/"
-	keyNever  = root + "never"
-
-	keyArrivals = root + "arrivals"
+	root             = "lichenstair/"
+	KeyLeader        = root + "leader"
+	KeyTerm          = root + "term"
+	KeyTypes         = root + "types"
+	memberPrefix     = root + "member/"
+	blockPrefix      = root + "block/"
+	machinePrefix    = root + "machines/"
+	jobPrefix        = root + "job/"
+	completionPrefix = root + "round/"
+	keyNonexistent   = root + "never"
+
+	keyAdditions = root + "arrivals"
 )
 
-// KeyMember is the key of a controller.
-func KeyMember(h core.Host) string { return members + string(h) }
+// KeyMember returns the key of a controller's member record.
+func KeyMember(h core.Host) string { return memberPrefix + string(h) }
 
-// KeyBlock is the key of a block.
-func KeyBlock(n int) string { return blocks + strconv.Itoa(n) }
+// KeyBlock returns the key of a block.
+func KeyBlock(n int) string { return blockPrefix + strconv.Itoa(n) }
 
-// KeyJob is the key of a job.
-func KeyJob(id core.JobID) string { return jobs + string(id) }
+// KeyJob returns the key of a job.
+func KeyJob(id core.JobID) string { return jobPrefix + string(id) }
 
-// KeyCompletionBatch is the key of a round of done tasks.
+// KeyCompletionBatch returns the key of a batch of completions of block n.
 func KeyCompletionBatch(n int, term core.Term, seq int) string {
-	return fmt.Sprintf("%s%d/%d-%d", rounds, n, term, seq)
+	return fmt.Sprintf("%s%d/%d-%d", completionPrefix, n, term, seq)
 }
 
-// Put sets a key to a record.
+// Put returns the change that sets a key to a record.
 func Put(key string, record any) api.Change {
 	raw, err := json.Marshal(record)
 	if err != nil {
-		panic(err) // our own records always can be written as JSON
+		panic(err) // records of this package always encode to JSON
 	}
 	return api.Change{Set: key, Value: raw}
 }
 
-// Member is the record of a live controller, attached to its tenure.
+// Member is the record of a live controller, attached to its lease.
 type Member struct {
 	Host    core.Host    `json:"host"`
 	LeaseID core.LeaseID `json:"tenure"`
 }
 
-// Leader is the record of the leader, attached to its tenure.
+// Leader is the record of the leader, attached to its lease.
 type Leader struct {
 	Host    core.Host    `json:"host"`
 	LeaseID core.LeaseID `json:"tenure"`
 	Term    core.Term    `json:"term"`
 }
 
-// TermCounter is the one counter from which all terms are allocated.
+// TermCounter is the single counter from which all terms are allocated.
 type TermCounter struct {
 	Last core.Term `json:"last"`
 }
 
-// AdditionCounter counts the transactions that brought machines into the inventories.
+// AdditionCounter counts the transactions that added machines to the inventories.
 type AdditionCounter struct {
 	Count uint64 `json:"count"`
 }
 
-// Machine is a machine in a block or in the pool.
+// Machine is the record of a machine in a block or in the pool.
 type Machine struct {
 	ID   core.MachineID `json:"id"`
 	Addr string         `json:"addr,omitempty"`
 	Type string         `json:"type"`
 	Zone string         `json:"zone"`
 	Spot bool           `json:"spot,omitempty"`
-	// InUse is set, durably, before the first task of the block is started on it.
+	// InUse is set durably before the first task of the block is started on the machine.
 	InUse bool `json:"up,omitempty"`
-	// Draining: the leader wants the machine back for another block.
+	// Draining: the leader wants to move the machine to another block.
 	Draining bool `json:"asked,omitempty"`
-	// ReturnRequested: the holder wants the machine to be returned to the cloud.
+	// ReturnRequested: the block's holder wants the machine to be returned to the cloud.
 	ReturnRequested bool `json:"lost,omitempty"`
-	// Expiring: the cloud takes the machine back, or its lease has run out; it is
-	// no capacity to count on.
+	// Expiring: the cloud is taking the machine back, or its lease has run out; it does not count
+	// as capacity.
 	Expiring bool `json:"doomed,omitempty"`
-	// Since is when the machine was rented or first seen.
+	// Since is the wall time at which the machine was rented or first seen.
 	Since core.WallTime `json:"since,omitempty"`
-	// LastTerm is the term under which its last block commanded it (pool only).
+	// LastTerm is the term under which the machine's last block commanded it (pool only).
 	LastTerm core.Term `json:"seen,omitempty"`
-	// Term is allocated when the machine is assigned to a block; the holder commands
-	// it under this or, once the block has been granted anew, the block's.
+	// Term is allocated when the machine is assigned to a block. The block's holder commands the
+	// machine under this term or, once the block has been granted again, under the block's.
 	Term core.Term `json:"term,omitempty"`
-	// PoolState says what becomes of a machine in the pool.
+	// PoolState is the state of a machine in the pool.
 	PoolState PoolState `json:"fate,omitempty"`
 }
 
-// PoolState is what becomes of a machine in the pool.
+// PoolState is the state of a machine in the pool.
 type PoolState string
 
 const (
-	// PoolFree: it can be assigned to a block.
+	// PoolFree: the machine can be assigned to a block.
 	PoolFree PoolState = ""
-	// PoolReturning: it is being returned to the cloud and must not be assigned.
+	// PoolReturning: the machine is being returned to the cloud and must not be assigned.
 	PoolReturning PoolState = "returning"
-	// PoolGone: the cloud has confirmed that it and all on it are gone.
+	// PoolGone: the cloud has confirmed that the machine and everything on it are gone.
 	PoolGone PoolState = "gone"
 )
 
-// Block is the record of a block; its machines are in the inventory of its number.
+// Block is the record of a block; its machines are in the inventory of the same number.
 type Block struct {
 	Number  int          `json:"number"`
 	Holder  core.Host    `json:"holder"`
 	LeaseID core.LeaseID `json:"tenure"`
-	// Term is that of the grant.
+	// Term is the term of the block's grant.
 	Term  core.Term `json:"term"`
 	Teams []string  `json:"teams"`
-	// Limits holds what each team may use, for when the settings no longer name it.
+	// Limits holds the last limit of each team, for teams that are no longer configured.
 	Limits map[string]Limit `json:"limits,omitempty"`
 }
 
-// Limit is what a team may use at any time.
+// Limit is the maximum of resources that a team may use at any time.
 type Limit struct {
 	CPUs float64 `json:"cpus"`
 	GPUs float64 `json:"gpus,omitempty"`
 }
 
-// Clone copies the record, so that a changed one can be written.
+// Clone returns a copy of the record, so that the original is not modified.
 func (b *Block) Clone() *Block {
 	c := *b
 	c.Teams, c.Limits = slices.Clone(b.Teams), maps.Clone(b.Limits)
 	return &c
 }
 
-// JobPhase is the durable state of a job.
+// JobPhase is the durable phase of a job.
 type JobPhase string
 
 const (
@@ -147,13 +147,14 @@
 	JobCancelled JobPhase = "cancelled"
 )
 
-// Job is the record of a job. When the job is over, Spec is dropped; what a
-// task uses stays, since tasks of a cancelled job count until they are gone.
+// Job is the record of a job. Spec is dropped when the job is finished. The resources of a task are
+// kept, since tasks of a cancelled job count against the team's limit until they are gone.
 type Job struct {
 	Phase      JobPhase      `json:"phase"`
 	Tasks      int           `json:"tasks"`
 	AcceptedAt core.WallTime `json:"at,omitempty"`
-	// EndedAt is when the job was found to be done, for the jobs that depend on it.
+	// EndedAt is the wall time at which the job was found to be done; dependents are ready from
+	// then on.
 	EndedAt  core.WallTime `json:"ended,omitempty"`
 	Team     string        `json:"team"`
 	CPUs     float64       `json:"cpus"`
@@ -162,22 +163,22 @@
 	Spec     *api.Job      `json:"spec,omitempty"`
 }
 
-// End returns the record of the job once it is over; at is when it was done.
+// End returns the record of the job in a final phase; at is the wall time at which it was done.
 func (j Job) End(p JobPhase, at core.WallTime) Job {
 	j.Phase, j.Spec, j.EndedAt = p, nil, at
 	return j
 }
 
-// Finished tells whether the job has reached a final phase.
+// Finished reports whether the job has reached a final phase.
 func (j *Job) Finished() bool { return j.Phase != JobAccepted }
 
-// CompletionBatch is a record of tasks done, by job.
+// CompletionBatch is a record of completed tasks, by job.
 type CompletionBatch struct {
 	Done map[core.JobID]core.IndexSet `json:"done"`
 }
 
-func blockOfRound(key string) int {
-	n, _, _ := strings.Cut(strings.TrimPrefix(key, rounds), "/")
+func blockOfCompletionBatch(key string) int {
+	n, _, _ := strings.Cut(strings.TrimPrefix(key, completionPrefix), "/")
 	i, err := strconv.Atoi(n)
 	if err != nil {
 		return -1
