--- a/api/cloud.go
+++ b/api/cloud.go
@@ -1,6 +1,7 @@
 package api
 
-// MachineType is a type of machine that the cloud rents.
+// MachineType is a machine type that can be rented. Price and SpotPrice are per machine, BootS is
+// in seconds.
 type MachineType struct {
 	Name        string   `json:"sku"`
 	CPUs        float64  `json:"cpus"`
@@ -14,12 +15,12 @@
 	Zones       []string `json:"patches"`
 }
 
-// MachineTypes answers the question for types.
+// MachineTypes is the response to a request for machine types.
 type MachineTypes struct {
 	Types []MachineType `json:"stocks"`
 }
 
-// Rental asks for machines.
+// Rental is a request to rent machines.
 type Rental struct {
 	RequestID string `json:"plea"`
 	Type      string `json:"stock"`
@@ -28,7 +29,7 @@
 	Count     int    `json:"number"`
 }
 
-// MachineIDs lists machines, in the answer to a rental and in a return.
+// MachineIDs lists machines, in the response to a rental and in a return request.
 type MachineIDs struct {
 	Machines []string `json:"rocks"`
 }
--- a/api/decode.go
+++ b/api/decode.go
@@ -2,7 +2,7 @@
 
 import "github.com/goccy/go-json"
 
-// Decode reads JSON of the kinds that come by the hundred a second: reports of
-// workers, watches and machines' records. It reads what encoding/json reads, in a
-// fifth of the time; with a fleet's reports that was most of a holder's work.
+// Decode decodes JSON that arrives hundreds of times a second: worker reports, watch responses and
+// machine records. It accepts what encoding/json accepts in a fifth of the time; decoding a fleet's
+// reports with encoding/json was most of a block holder's CPU time.
 func Decode(body []byte, into any) error { return json.Unmarshal(body, into) }
--- a/api/decode_test.go
+++ b/api/decode_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// Whatever encoding/json takes for a report, Decode reads in the same way; and
-// nothing that arrives makes it crash, since it runs on the loop.
-func TestDecodeReadsAlike(t *testing.T) {
+// Decode yields the same values as encoding/json for every body that encoding/json accepts, and
+// never panics on any input, since it runs on the event loop.
+func TestDecodeMatchesEncodingJSON(t *testing.T) {
 	notice := 12.5
 	rep := Report{Machine: "n-000231", Addr: "10.1.0.232:9000", Type: "g8", Zone: "a", Spot: true, Session: 1, Sequence: 88, Term: 1 << 63, NoticeS: &notice}
 	for i := range 5 {
@@ -47,10 +47,10 @@
 		}
 		taken++
 		if err != nil || !reflect.DeepEqual(plain, fast) {
-			t.Fatalf("%s\nis read as %+v (%v), not %+v", body, fast, err, plain)
+			t.Fatalf("%s\ndecoded as %+v (error %v), want %+v", body, fast, err, plain)
 		}
 	}
 	if taken < 10_000 {
-		t.Fatalf("only %d bodies could be read", taken)
+		t.Fatalf("only %d bodies were valid, want at least 10000", taken)
 	}
 }
--- a/api/parse.go
+++ b/api/parse.go
@@ -10,36 +10,35 @@
 	"slices"
 )
 
-// MaxTasks is the largest number of tasks that a job may have.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100_000
 
-// MaxBody is the largest request body in bytes.
+// MaxBody is the maximum size of a request body, in bytes.
 const MaxBody = 64 << 10
 
-const maxName = 200
+const maxTextLength = 200
 
-// FieldDependencies is the name on the wire of the list of jobs that a job depends on.
+// FieldDependencies is the JSON name of the list of jobs that a job depends on.
 const FieldDependencies = "roots"
 
-var jobID = regexp.MustCompile(`^req-[0-9]{1,40}$`)
+var jobIDPattern = regexp.MustCompile(`^req-[0-9]{1,40}$`)
 
-// ValidJobID tells whether s has the form of a job id.
-func ValidJobID(s string) bool { return jobID.MatchString(s) }
+// ValidJobID reports whether s has the form of a job id.
+func ValidJobID(s string) bool { return jobIDPattern.MatchString(s) }
 
-// FieldError names the field of a submission that is missing or invalid.
+// FieldError is the error for a field of a submission that is missing or invalid.
 type FieldError struct{ Field, Problem string }
 
 func (e *FieldError) Error() string { return e.Field + ": " + e.Problem }
 
 var errNotObject = errors.New("not a JSON object")
 
-// ParseJob reads a submission strictly: every field must have its type, those
-// that may not be null must be there, and amounts must make sense. What comes with an
-// error has nothing but its ID, if that is valid: a malformed submission may repeat one
-// that was accepted.
+// ParseJob parses a submission strictly: every field must have its type, fields that must not be
+// null must be present, and values must be in range. With an error it returns only the job's ID, if
+// that is valid, since a malformed submission may repeat one that was accepted.
 func ParseJob(body []byte) (Job, error) {
 	if len(body) > MaxBody {
-		return Job{}, errors.New("body too large")
+		return Job{}, fmt.Errorf("body of %d bytes exceeds the limit of %d", len(body), MaxBody)
 	}
 	dec := json.NewDecoder(bytes.NewReader(body))
 	var fields map[string]json.RawMessage
@@ -59,7 +58,7 @@
 	}
 	if p.present("stocks") {
 		if err := json.Unmarshal(fields["stocks"], &j.Types); err != nil {
-			p.fail("stocks", "not a list of names")
+			p.fail("stocks", "must be a list of strings")
 		}
 	}
 	if p.present("patch") {
@@ -71,10 +70,10 @@
 		j.DeadlineS = &d
 	}
 	if p.present(FieldDependencies) {
-		j.Dependencies = p.ids(FieldDependencies)
+		j.Dependencies = p.jobIDs(FieldDependencies)
 	}
 	if !ValidJobID(j.ID) {
-		p.fail("uid", "not in the form of a job id")
+		p.fail("uid", "must be \"req-\" followed by 1 to 40 digits")
 		return Job{}, p.err
 	}
 	j.check(&p)
@@ -84,17 +83,17 @@
 	return j, nil
 }
 
-// check refuses values that have their type but make no sense.
+// check rejects values that have the right type but are out of range or inconsistent.
 func (j *Job) check(p *parser) {
 	switch {
 	case slices.Contains(j.Dependencies, j.ID):
-		p.fail(FieldDependencies, "names the job itself")
+		p.fail(FieldDependencies, "contains the job itself")
 	case j.Form != FormArray && j.Form != FormGang && j.Form != FormService:
-		p.fail("form", "unknown")
+		p.fail("form", fmt.Sprintf("unknown form %q", j.Form))
 	case j.Rank != RankProduction && j.Rank != RankHigh && j.Rank != RankStandard && j.Rank != RankBestEffort:
-		p.fail("rank", "unknown")
+		p.fail("rank", fmt.Sprintf("unknown rank %q", j.Rank))
 	case j.Tasks < 1 || j.Tasks > MaxTasks:
-		p.fail("spores", fmt.Sprintf("must be from 1 to %d", MaxTasks))
+		p.fail("spores", fmt.Sprintf("must be from 1 to %d, got %d", MaxTasks, j.Tasks))
 	case j.CPUs == 0:
 		p.fail("cpus", "must be positive")
 	}
@@ -116,7 +115,7 @@
 	return ok && string(raw) != "null"
 }
 
-func (p *parser) take(field string, into any, problem string) bool {
+func (p *parser) decode(field string, into any, problem string) bool {
 	if !p.present(field) {
 		p.fail(field, "missing")
 		return false
@@ -129,23 +128,23 @@
 }
 
 func (p *parser) text(field string) (s string) {
-	if p.take(field, &s, "not a string") && (s == "" || len(s) > maxName) {
-		p.fail(field, "empty or too long")
+	if p.decode(field, &s, "must be a string") && (s == "" || len(s) > maxTextLength) {
+		p.fail(field, fmt.Sprintf("must have 1 to %d bytes", maxTextLength))
 	}
 	return s
 }
 
-// ids reads a list of job ids; repeats count once.
-func (p *parser) ids(field string) (out []string) {
+// jobIDs decodes a list of job ids without duplicates.
+func (p *parser) jobIDs(field string) (out []string) {
 	var list []*string
-	if !p.take(field, &list, "not a list of job ids") {
+	if !p.decode(field, &list, "must be a list of job ids") {
 		return nil
 	}
 	seen := map[string]bool{}
 	for _, id := range list {
 		switch {
 		case id == nil || !ValidJobID(*id):
-			p.fail(field, "not a list of job ids")
+			p.fail(field, "must be a list of job ids")
 			return nil
 		case !seen[*id]:
 			seen[*id] = true
@@ -156,18 +155,18 @@
 }
 
 func (p *parser) amount(field string) (f float64) {
-	if p.take(field, &f, "not a number") && (f < 0 || math.IsInf(f, 0) || f > 1e9) {
-		p.fail(field, "negative or too large")
+	if p.decode(field, &f, "must be a number") && (f < 0 || math.IsInf(f, 0) || f > 1e9) {
+		p.fail(field, fmt.Sprintf("must be from 0 to 1e9, got %g", f))
 	}
 	return f
 }
 
 func (p *parser) count(field string) (n int) {
-	p.take(field, &n, "not a whole number")
+	p.decode(field, &n, "must be an integer")
 	return n
 }
 
 func (p *parser) flag(field string) (b bool) {
-	p.take(field, &b, "not true or false")
+	p.decode(field, &b, "must be true or false")
 	return b
 }
--- a/api/state.go
+++ b/api/state.go
@@ -17,7 +17,7 @@
 	Revision uint64 `json:"ring"`
 }
 
-// Condition demands that a key has a version; 0: it does not exist.
+// Condition requires that a key has a version; version 0 requires that the key does not exist.
 type Condition struct {
 	Key     string `json:"path"`
 	Version uint64 `json:"growth"`
@@ -37,23 +37,23 @@
 	Then []Change    `json:"apply,omitempty"`
 }
 
-// TxnResponse answers a Txn; Failed names the conditions that did not hold.
+// TxnResponse is the response to a Txn; Failed lists the keys of the conditions that did not hold.
 type TxnResponse struct {
 	Revision uint64   `json:"ring"`
 	Failed   []string `json:"failed,omitempty"`
 }
 
-// LeaseRequest asks for a lease.
+// LeaseRequest requests a lease; the TTL is in milliseconds.
 type LeaseRequest struct {
 	TTLMS int `json:"ttlMs"`
 }
 
-// LeaseResponse names the lease granted.
+// LeaseResponse holds the id of the granted lease.
 type LeaseResponse struct {
 	LeaseID uint64 `json:"tenure"`
 }
 
-// Event is one change seen by a watch.
+// Event is one change of a key, as delivered by a watch.
 type Event struct {
 	Set     string          `json:"set,omitempty"`
 	Value   json.RawMessage `json:"data,omitempty"`
@@ -61,7 +61,7 @@
 	Remove  string          `json:"remove,omitempty"`
 }
 
-// WatchResponse carries all changes since a revision.
+// WatchResponse holds all changes since a revision.
 type WatchResponse struct {
 	Revision uint64  `json:"ring"`
 	Events   []Event `json:"events"`
--- a/api/users.go
+++ b/api/users.go
@@ -1,9 +1,9 @@
-// Package api holds the wire formats of lichenstair's interfaces: what users,
-// workers, the cloud and the state service send and receive as JSON. Clients
-// may use it too. Nothing outside this package depends on a name on the wire.
+// Package api defines the wire formats of lichenstair's interfaces: the JSON that users, workers,
+// the cloud and the state service send and receive. Clients may import it too. No other package
+// depends on a name on the wire.
 package api
 
-// Job is the body of a submission. Pointers tell an omitted field from a zero.
+// Job is the body of a submission. Pointers distinguish an omitted field from a zero.
 type Job struct {
 	ID          string   `json:"uid"`
 	Class       string   `json:"strain"`
@@ -25,7 +25,7 @@
 	CheckpointS float64  `json:"moltS"`
 	SaveS       float64  `json:"shedS"`
 	DeadlineS   *float64 `json:"ripeS"`
-	// Dependencies names the jobs that have to be done before any task of this one starts.
+	// Dependencies lists the ids of the jobs that must be done before any task of this one starts.
 	Dependencies []string `json:"roots,omitempty"`
 }
 
@@ -33,8 +33,8 @@
 const (
 	FormArray = "batch"
 	FormGang  = "group"
-	// FormService is not in the protocol's page, but users submit it: its tasks
-	// run, independently, until the job is cancelled. See docs/questions.md.
+	// FormService is not in the protocol's documentation, but users submit it: its tasks run
+	// independently of each other until the job is cancelled. See docs/questions.md.
 	FormService = "standing"
 )
 
@@ -46,7 +46,7 @@
 	RankBestEffort = "best_effort"
 )
 
-// Phases of a job as users see them.
+// Phases of a job in responses to users.
 const (
 	PhaseQueued    = "queued"
 	PhaseRunning   = "running"
@@ -54,7 +54,7 @@
 	PhaseCancelled = "withdrawn"
 )
 
-// JobStatus answers submissions, polls and cancellations.
+// JobStatus is the response to submissions, polls and cancellations.
 type JobStatus struct {
 	ID      string `json:"uid"`
 	Phase   string `json:"phase"`
@@ -62,7 +62,7 @@
 	Running int    `json:"running"`
 }
 
-// Error is the body of a refusal.
+// Error is the body of an error response.
 type Error struct {
 	Error string `json:"error"`
 	Field string `json:"field,omitempty"`
--- a/api/workers.go
+++ b/api/workers.go
@@ -1,6 +1,6 @@
 package api
 
-// Report is what a worker tells of itself and of the tasks on it.
+// Report is a worker's report of its state and of the tasks on it.
 type Report struct {
 	Machine  string       `json:"rock"`
 	Addr     string       `json:"addr"`
@@ -14,7 +14,7 @@
 	Tasks    []TaskStatus `json:"spores"`
 }
 
-// TaskStatus is one task of a report.
+// TaskStatus is the status of one task in a report.
 type TaskStatus struct {
 	Task    string `json:"spore"`
 	Attempt uint64 `json:"sprout"`
@@ -44,7 +44,7 @@
 	CauseNoSuch     = "no_such"
 )
 
-// Commands to workers.
+// Verbs of commands to workers.
 const (
 	VerbRun   = "run"
 	VerbKill  = "kill"
@@ -59,18 +59,18 @@
 	GraceS  *float64 `json:"wiltS,omitempty"`
 }
 
-// ReportResponse answers a report.
+// ReportResponse is the response to a report from the controller that holds the worker's block.
 type ReportResponse struct {
 	Term     uint64    `json:"warrant"`
 	Commands []Command `json:"orders"`
 }
 
-// Redirect answers a report that belongs elsewhere.
+// Redirect is the response to a report that belongs to another controller.
 type Redirect struct {
 	Holder string `json:"steward,omitempty"`
 }
 
-// CommandRequest is a command sent straight to a worker.
+// CommandRequest is a request with commands that is sent to a worker's own address.
 type CommandRequest struct {
 	Term     uint64    `json:"warrant"`
 	Session  uint64    `json:"season"`
--- a/internal/config/check.go
+++ b/internal/config/check.go
@@ -16,7 +16,7 @@
 	}
 }
 
-func need[T any](k *checker, field string, v *T) (out T) {
+func required[T any](k *checker, field string, v *T) (out T) {
 	if v == nil {
 		k.fail(field, "missing")
 		return out
@@ -25,7 +25,7 @@
 }
 
 func (k *checker) text(field string, v *string) string {
-	s := need(k, field, v)
+	s := required(k, field, v)
 	if s == "" {
 		k.fail(field, "empty")
 	}
@@ -41,9 +41,9 @@
 }
 
 func (k *checker) positive(field string, v *float64) float64 {
-	f := need(k, field, v)
+	f := required(k, field, v)
 	if !(f > 0) || f > 1e9 {
-		k.fail(field, "must be positive")
+		k.fail(field, fmt.Sprintf("must be positive and at most 1e9, got %g", f))
 	}
 	return f
 }
@@ -52,17 +52,17 @@
 	return core.Seconds(k.positive(field, v))
 }
 
-func (k *checker) whole(field string, v *int) int {
-	n := need(k, field, v)
+func (k *checker) positiveInt(field string, v *int) int {
+	n := required(k, field, v)
 	if n < 1 {
-		k.fail(field, "must be at least 1")
+		k.fail(field, fmt.Sprintf("must be at least 1, got %d", n))
 	}
 	return n
 }
 
-func (k *checker) atLeastZero(field string, f float64) float64 {
+func (k *checker) nonNegative(field string, f float64) float64 {
 	if !(f >= 0) || f > 1e9 {
-		k.fail(field, "must not be negative")
+		k.fail(field, fmt.Sprintf("must be from 0 to 1e9, got %g", f))
 	}
 	return f
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads the platform's settings file (TOML) and the operators'
-// own settings (protobuf text format).
+// Package config reads the platform's settings file (TOML) and the operators' settings (protobuf
+// text format).
 package config
 
 import (
@@ -10,7 +10,7 @@
 	"lichenstair/internal/core"
 )
 
-// Config is everything that a node is told at its start.
+// Config holds all settings of a node.
 type Config struct {
 	Host        core.Host
 	Zone        string
@@ -36,19 +36,18 @@
 	Addr string
 }
 
-// Team has CPUs and GPUs guaranteed and may use up to a limit; Unlimited where it
-// has none.
+// Team holds a team's guaranteed CPUs and GPUs and its limits, which are Unlimited if it has none.
 type Team struct {
 	Name          string
 	CPUs, CPUsMax float64
 	GPUs, GPUsMax float64
 }
 
-// Unlimited is the limit of a team that has none. No fleet reaches it, and being a
-// number it can be compared, added and divided like any other limit.
+// Unlimited is the limit of a team without a limit. It exceeds any fleet and, being a number, can
+// be compared, added and divided like other limits.
 const Unlimited = 1e12
 
-// Objective is an aim on starting or finishing, as the users stated it.
+// Objective is a service-level objective on starting or finishing jobs, as set by users.
 type Objective struct {
 	Kind, Class    string
 	Within         time.Duration
@@ -56,63 +55,64 @@
 	DeadlineFactor float64
 }
 
-// WorkerTimings holds what workers do by the clock.
+// WorkerTimings holds the time-outs and intervals of workers.
 type WorkerTimings struct {
 	Report, Lease, GangWait, GangPeer, Cancel time.Duration
 }
 
-// MaxReportHold is how long the answer to a worker with nothing to do may be kept back. Its
-// lease counts from the sending of the report, and it gives up after four seconds;
-// the longer, the less often a start has to wait for the next report.
+// MaxReportHold returns how long the response to a report may be delayed when there is no command
+// for the worker (long poll). The worker's lease counts from the sending of its report, and the
+// worker gives up waiting after 4 s. A longer delay lets more starts go out without waiting for the
+// next report.
 func (w WorkerTimings) MaxReportHold() time.Duration { return min(3200*time.Millisecond, w.Lease/4) }
 
-// StateLimits holds the limits of the state service: the lower of the present and the
-// coming ones.
+// StateLimits holds the limits of the state service: the lower of the current and the announced
+// ones.
 type StateLimits struct {
 	RPS, WriteRPS float64
 	ValueBytes    int
 	TxnOps        int
 }
 
-// CloudLimits holds the limits of the cloud.
+// CloudLimits holds the limits of the cloud. ListLag is the maximum staleness of its machine list.
 type CloudLimits struct {
 	RPS     float64
 	ListLag time.Duration
 }
 
-// Limits holds the limits of this process.
+// Limits holds the resource limits of this process.
 type Limits struct {
 	CoreShare   float64
 	MemoryBytes int64
 	Sockets     int
 }
 
-// Sockets for what there is little of: the kept lines to the two services, the
-// lines of the other controllers, listeners and the runtime's own.
+// Sockets reserved for fixed uses: the persistent connections to the two services, the connections
+// of other controllers, listeners and the runtime's own.
 const (
 	ConnsPerService = 16
-	ownSockets      = 2*ConnsPerService + 24
-	peerSockets     = 3
-	minServer       = 16
-	minCalls        = 8
+	reservedSockets = 2*ConnsPerService + 24
+	socketsPerPeer  = 3
+	minServerConns  = 16
+	minWorkerCalls  = 8
 )
 
-// ConnectionLimits divides the sockets: how many connections workers and users may open to
-// us, and how many questions to workers may be on their way at once. One
-// controller may be the only one left for a while, with the connection of every
-// worker, so all that is not needed elsewhere goes there.
+// ConnectionLimits divides the sockets into connections that workers and users may open to this
+// process (server) and concurrent requests to workers (calls). One controller may temporarily serve
+// the connections of all workers, so all remaining sockets go to the server.
 func (l Limits) ConnectionLimits(peers int) (server, calls int) {
-	left := l.Sockets - ownSockets - peerSockets*peers
-	calls = max(left/8, minCalls)
-	return max(left-calls, minServer), calls
+	left := l.Sockets - reservedSockets - socketsPerPeer*peers
+	calls = max(left/8, minWorkerCalls)
+	return max(left-calls, minServerConns), calls
 }
 
-// MinSockets is the limit below which the shares cannot be kept within it.
+// MinSockets returns the lowest socket limit within which ConnectionLimits stays.
 func MinSockets(peers int) int {
-	return ownSockets + peerSockets*peers + minServer + minCalls
+	return reservedSockets + socketsPerPeer*peers + minServerConns + minWorkerCalls
 }
 
-// Load reads the platform's file and, if settings is not empty, the operators'.
+// Load reads the platform's file at path and, if settings is not empty, the operators' settings
+// file.
 func Load(path, settings string) (*Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-const good = `host_name = "c0"
+const validConfig = `host_name = "c0"
 area = "a"
 bind = "127.0.0.1:8080"
 peer_listen = "127.0.0.1:8081"
@@ -56,7 +56,7 @@
 `
 
 func TestPlatformFile(t *testing.T) {
-	if c, err := parse([]byte(good)); err != nil || c.Workers.Lease != 10*time.Second || c.StateLimits.ValueBytes != 16384 || c.Peers[0].Host != "c1" {
+	if c, err := parse([]byte(validConfig)); err != nil || c.Workers.Lease != 10*time.Second || c.StateLimits.ValueBytes != 16384 || c.Peers[0].Host != "c1" {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	for _, tc := range []struct{ old, new, field string }{
@@ -72,25 +72,25 @@
 		{`state = "127.0.0.9:2"`, ``, "endpoints.state"},
 		{`[settings]`, `[settings`, "line"},
 	} {
-		_, err := parse([]byte(strings.Replace(good, tc.old, tc.new, 1)))
+		_, err := parse([]byte(strings.Replace(validConfig, tc.old, tc.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), tc.field) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s -> %s: got %v, want one line that names %s", tc.old, tc.new, err, tc.field)
 		}
 	}
 }
 
-// A borrowing team has neither a guarantee nor a limit: 0 says that there is none. Taken
-// for a mistake, that line kept every controller from starting.
+// A borrowing team has neither a guarantee nor a limit: 0 means no limit. When it was rejected as
+// invalid, such a team kept every controller from starting.
 func TestTeamWithoutLimit(t *testing.T) {
 	borrower := "\n[[settings.teams]]\nname = \"borrower\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"
-	c, err := parse([]byte(good + borrower))
+	c, err := parse([]byte(validConfig + borrower))
 	if err != nil || len(c.Teams) != 2 || c.Teams[1].CPUs != 0 || c.Teams[1].CPUsMax < 1e9 || c.Teams[1].GPUsMax < 1e9 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	if c.Teams[0].CPUsMax != 2 || c.Teams[0].GPUsMax != 0 {
-		t.Fatalf("a limit is lost: %+v", c.Teams[0])
+		t.Fatalf("wrong limits: %+v", c.Teams[0])
 	}
-	if _, err = parse([]byte(good + strings.Replace(borrower, "cpus_max = 0.0", "cpus_max = -1.0", 1))); err == nil || !strings.Contains(err.Error(), "settings.teams[1].cpus_max") {
+	if _, err = parse([]byte(validConfig + strings.Replace(borrower, "cpus_max = 0.0", "cpus_max = -1.0", 1))); err == nil || !strings.Contains(err.Error(), "settings.teams[1].cpus_max") {
 		t.Fatal(err)
 	}
 }
@@ -120,7 +120,7 @@
 		t.Errorf("got %v", err)
 	}
 	path := filepath.Join(t.TempDir(), "good.toml")
-	if err := os.WriteFile(path, []byte(good), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(validConfig), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Load(path, "nowhere"); err == nil || !strings.Contains(err.Error(), "--settings") {
@@ -128,9 +128,9 @@
 	}
 }
 
-// Aims of kinds that we do not know, with fields that we do not know, are no
-// reason to refuse a platform's file; a wrong value in a known field is, by name.
-func TestUnknownAims(t *testing.T) {
+// Objectives of unknown kinds and with unknown fields do not invalidate the platform's file; a
+// wrong value in a known field is rejected with the field's name.
+func TestUnknownObjectives(t *testing.T) {
 	aims := `
 [[settings.objectives]]
 kind = "makespan"
@@ -143,35 +143,35 @@
 share = 0.9
 times = 1.5
 `
-	c, err := parse([]byte(good + aims))
+	c, err := parse([]byte(validConfig + aims))
 	if err != nil || len(c.Objectives) != 2 || c.Objectives[1].DeadlineFactor != 1.5 {
 		t.Fatalf("%+v, %v", c, err)
 	}
-	_, err = parse([]byte(good + strings.Replace(aims, "times = 1.5", `times = "soon"`, 1)))
+	_, err = parse([]byte(validConfig + strings.Replace(aims, "times = 1.5", `times = "soon"`, 1)))
 	if err == nil || !strings.Contains(err.Error(), "times") {
 		t.Fatal(err)
 	}
 }
 
-// The connections of all workers of a fleet fit into what one controller takes,
-// and the shares never exceed the limit.
-func TestSocketShares(t *testing.T) {
+// One controller accepts the connections of all workers of a fleet, and the limits together never
+// exceed the socket limit.
+func TestConnectionLimits(t *testing.T) {
 	for _, c := range []struct{ sockets, peers, machines int }{{1700, 4, 1000}, {1650, 2, 1300}, {500, 2, 300}, {120, 2, 20}, {MinSockets(4), 4, 16}, {10, 2, 1}} {
 		server, calls := Limits{Sockets: c.sockets}.ConnectionLimits(c.peers)
 		if server < c.machines || calls < 8 {
-			t.Errorf("%d sockets: %d connections for %d machines, %d calls", c.sockets, server, c.machines, calls)
+			t.Errorf("%d sockets: %d connections for %d machines and %d calls are too few", c.sockets, server, c.machines, calls)
 		}
-		if c.sockets >= MinSockets(c.peers) && server+calls+ownSockets+peerSockets*c.peers > c.sockets {
-			t.Errorf("%d sockets: %d and %d are too many", c.sockets, server, calls)
+		if c.sockets >= MinSockets(c.peers) && server+calls+reservedSockets+socketsPerPeer*c.peers > c.sockets {
+			t.Errorf("%d sockets: %d connections and %d calls are too many", c.sockets, server, calls)
 		}
 	}
 }
 
-// The limits that the state service will have are kept from the start, where they are
-// lower; they may be missing, in part or whole, and wrong ones are refused by name.
-func TestLimitsToCome(t *testing.T) {
+// Announced limits of the state service apply from the start where they are lower. They may be
+// missing, in part or whole, and invalid ones are rejected with the field's name.
+func TestAnnouncedStateLimits(t *testing.T) {
 	with := func(next string) (*Config, error) {
-		return parse([]byte(strings.Replace(good, "[settings.cloud]", "[settings.state.next]\n"+next+"\n[settings.cloud]", 1)))
+		return parse([]byte(strings.Replace(validConfig, "[settings.cloud]", "[settings.state.next]\n"+next+"\n[settings.cloud]", 1)))
 	}
 	c, err := with("write_rps = 28.0\nvalue_kb = 2.0\ntxn_ops = 10")
 	if err != nil || c.StateLimits.WriteRPS != 28 || c.StateLimits.ValueBytes != 2048 || c.StateLimits.TxnOps != 10 || c.StateLimits.RPS != 100 {
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -59,10 +59,10 @@
 	} `toml:"settings"`
 }
 
-// stateFile is the part of the platform's file about the state service.
+// stateFile is the section of the platform's file about the state service.
 type stateFile struct {
 	stateLimitsFile
-	// Next holds the limits that the service will have from some moment on.
+	// Next holds announced limits that the service will have from some time on.
 	Next stateLimitsFile `toml:"next"`
 }
 
@@ -73,8 +73,8 @@
 	TxnOps   *int     `toml:"txn_ops"`
 }
 
-// parse reads the platform's file. Fields that are not known are ignored; those that are
-// wrong or missing are refused by name.
+// parse reads the platform's file. Unknown fields are ignored; missing and invalid ones are
+// rejected by name.
 func parse(raw []byte) (*Config, error) {
 	var f file
 	if err := toml.Unmarshal(raw, &f); err != nil {
@@ -91,7 +91,7 @@
 		Host: core.Host(k.text("host_name", f.Host)), Zone: k.text("area", f.Zone),
 		Bind: k.addr("bind", f.Bind), PeerBind: k.addr("peer_listen", f.Peer),
 		Cloud: k.addr("endpoints.cloud", f.Endpoints.Cloud), State: k.addr("endpoints.state", f.Endpoints.State),
-		Nodes: k.whole("settings.count", s.Count), Zones: s.Zones,
+		Nodes: k.positiveInt("settings.count", s.Count), Zones: s.Zones,
 		Workers: WorkerTimings{
 			Report: k.seconds("settings.workers.report_s", s.Workers.ReportS), Lease: k.seconds("settings.workers.lease_s", s.Workers.LeaseS),
 			GangWait: k.seconds("settings.workers.gang_wait_s", s.Workers.GangWaitS), GangPeer: k.seconds("settings.workers.gang_peer_s", s.Workers.GangPeerS),
@@ -101,11 +101,11 @@
 		CloudLimits: CloudLimits{RPS: k.positive("settings.cloud.rps", s.Cloud.RPS), ListLag: k.seconds("settings.cloud.list_lag_s", s.Cloud.ListLagS)},
 		Limits: Limits{
 			CoreShare: k.positive("settings.limits.core_share", s.Limits.CoreShare), MemoryBytes: int64(k.positive("settings.limits.ram_mb", s.Limits.MemoryMB) * (1 << 20)),
-			Sockets: k.whole("settings.limits.fd_limit", s.Limits.Sockets),
+			Sockets: k.positiveInt("settings.limits.fd_limit", s.Limits.Sockets),
 		},
 	}
 	if c.Workers.Cancel <= c.Workers.Lease {
-		k.fail("settings.workers.cancel_s", "must be longer than lease_s")
+		k.fail("settings.workers.cancel_s", fmt.Sprintf("must be longer than lease_s, got %s and %s", c.Workers.Cancel, c.Workers.Lease))
 	}
 	if len(s.Zones) == 0 {
 		k.fail("settings.zones", "missing")
@@ -120,13 +120,13 @@
 	return c, k.err
 }
 
-// limits are the lower of the present and the coming limits: the service lowers its own
-// without notice, so the lower ones are kept from the start. What is not named as coming
-// stays as it is.
+// limits returns the lower of the current and the announced limits: the service lowers its limits
+// without notice, so the lower ones apply from the start. Limits that are not announced stay as
+// they are.
 func (f *stateFile) limits(k *checker) StateLimits {
 	limits := StateLimits{
 		RPS: k.positive("settings.state.rps", f.RPS), WriteRPS: k.positive("settings.state.write_rps", f.WriteRPS),
-		ValueBytes: int(k.positive("settings.state.value_kb", f.ValueKB) * 1024), TxnOps: k.whole("settings.state.txn_ops", f.TxnOps),
+		ValueBytes: int(k.positive("settings.state.value_kb", f.ValueKB) * 1024), TxnOps: k.positiveInt("settings.state.txn_ops", f.TxnOps),
 	}
 	if next := f.Next.RPS; next != nil {
 		limits.RPS = min(limits.RPS, k.positive("settings.state.next.rps", next))
@@ -138,12 +138,12 @@
 		limits.ValueBytes = min(limits.ValueBytes, int(k.positive("settings.state.next.value_kb", next)*1024))
 	}
 	if next := f.Next.TxnOps; next != nil {
-		limits.TxnOps = min(limits.TxnOps, k.whole("settings.state.next.txn_ops", next))
+		limits.TxnOps = min(limits.TxnOps, k.positiveInt("settings.state.next.txn_ops", next))
 	}
 	return limits
 }
 
-// teams reads the teams; no name may stand twice.
+// teams returns the configured teams; a duplicate name is an error.
 func (f *file) teams(k *checker) (teams []Team) {
 	if len(f.Settings.Teams) == 0 {
 		k.fail("settings.teams", "missing")
@@ -152,16 +152,16 @@
 	for i, t := range f.Settings.Teams {
 		at := fmt.Sprintf("settings.teams[%d].", i)
 		team := Team{
-			Name: k.text(at+"name", t.Name), CPUs: k.atLeastZero(at+"cpus", need(k, at+"cpus", t.CPUs)), CPUsMax: k.atLeastZero(at+"cpus_max", need(k, at+"cpus_max", t.CPUsMax)),
-			GPUs: k.atLeastZero(at+"gpus", t.GPUs), GPUsMax: k.atLeastZero(at+"gpus_max", t.GPUsMax),
+			Name: k.text(at+"name", t.Name), CPUs: k.nonNegative(at+"cpus", required(k, at+"cpus", t.CPUs)), CPUsMax: k.nonNegative(at+"cpus_max", required(k, at+"cpus_max", t.CPUsMax)),
+			GPUs: k.nonNegative(at+"gpus", t.GPUs), GPUsMax: k.nonNegative(at+"gpus_max", t.GPUsMax),
 		}
 		if seen[team.Name] {
-			k.fail(at+"name", fmt.Sprintf("%q stands twice", team.Name))
+			k.fail(at+"name", fmt.Sprintf("duplicate team name %q", team.Name))
 		}
 		seen[team.Name] = true
 		if team.CPUsMax == 0 {
-			// A limit of 0 says that there is none. Refused as wrong, a borrowing team's
-			// line kept every controller from starting (docs/incidents/inc-39d9.md).
+			// A limit of 0 means no limit. When it was rejected as invalid, a borrowing team's
+			// entry kept every controller from starting (docs/incidents/inc-39d9.md).
 			team.CPUsMax = Unlimited
 			if team.GPUsMax == 0 {
 				team.GPUsMax = Unlimited
--- a/internal/config/settingspb/generated_test.go
+++ b/internal/config/settingspb/generated_test.go
@@ -14,8 +14,7 @@
 	"google.golang.org/protobuf/types/pluginpb"
 )
 
-// The generated code is what its source gives: the generator, pinned in go.mod, writes the
-// same from it once more.
+// settings.pb.go equals what the generator pinned in go.mod writes from settings.proto.
 func TestGeneratedCodeIsUpToDate(t *testing.T) {
 	const source = "internal/config/settingspb/settings.proto"
 	compiler := protocompile.Compiler{
@@ -50,6 +49,6 @@
 		t.Fatal(err)
 	}
 	if want := response.File[0].GetContent(); string(have) != want {
-		t.Fatalf("settings.pb.go is not what settings.proto gives; the generator writes:\n%s", want)
+		t.Fatalf("settings.pb.go is out of date; the generator writes:\n%s", want)
 	}
 }
