--- a/api/decode_test.go
+++ b/api/decode_test.go
@@ -19,7 +19,7 @@
 	raw, _ := json.Marshal(rep)
 	watch, _ := json.Marshal(WatchResponse{Revision: 433, Events: []Event{{Set: "c/9", Value: json.RawMessage(`{"a":[1,{"b":null}]}`), Version: 433}, {Remove: "c/d", Version: 432}}})
 	r := rand.New(rand.NewPCG(4, 2))
-	taken := 0
+	valid := 0
 	for n := range 60_000 {
 		body := append([]byte{}, [][]byte{raw, watch}[n%2]...)
 		for range r.IntN(4) {
@@ -37,20 +37,20 @@
 				body = []byte("x")
 			}
 		}
-		var plain, fast any = &Report{}, &Report{}
+		var expected, decoded any = &Report{}, &Report{}
 		if n%2 == 1 {
-			plain, fast = &WatchResponse{}, &WatchResponse{}
+			expected, decoded = &WatchResponse{}, &WatchResponse{}
 		}
-		err := Decode(body, fast)
-		if json.Unmarshal(body, plain) != nil {
+		err := Decode(body, decoded)
+		if json.Unmarshal(body, expected) != nil {
 			continue
 		}
-		taken++
-		if err != nil || !reflect.DeepEqual(plain, fast) {
-			t.Fatalf("%s\ndecoded as %+v (error %v), want %+v", body, fast, err, plain)
+		valid++
+		if err != nil || !reflect.DeepEqual(expected, decoded) {
+			t.Fatalf("%s\ndecoded as %+v (error %v), want %+v", body, decoded, err, expected)
 		}
 	}
-	if taken < 10_000 {
-		t.Fatalf("only %d bodies were valid, want at least 10000", taken)
+	if valid < 10_000 {
+		t.Fatalf("only %d bodies were valid, want at least 10000", valid)
 	}
 }
--- a/internal/state/client_test.go
+++ b/internal/state/client_test.go
@@ -180,17 +180,17 @@
 	}
 	again("jobs", func(done func()) { c.Txn(txn, func(Result) { done() }) })
 	again("records", func(done func()) { c.TxnLowPriority(txn, func(Result) { done() }) })
-	var asked, granted core.Time
+	var requested, executed core.Time
 	l.After(10*time.Second, func() {
-		asked = l.now
-		c.TxnHighPriority(txn, func(Result) { granted = l.now })
+		requested = l.now
+		c.TxnHighPriority(txn, func(Result) { executed = l.now })
 	})
 	l.run(until)
 	if count["jobs"] < 60 || count["records"] < 20 || count["reads"] < 60 {
 		t.Fatalf("requests in 20 s: %v, want at least 60 jobs, 20 records and 60 reads", count)
 	}
-	if granted == 0 || granted.Sub(asked) > 150*time.Millisecond {
-		t.Fatalf("an election transaction waited %v, want at most 150ms", granted.Sub(asked))
+	if executed == 0 || executed.Sub(requested) > 150*time.Millisecond {
+		t.Fatalf("an election transaction waited %v, want at most 150ms", executed.Sub(requested))
 	}
 	if sum := count["jobs"] + count["records"] + count["reads"]; sum > 20*18+20 {
 		t.Fatalf("%d requests in 20 s, limit 18 per second", sum)
--- a/internal/state/dependencies_test.go
+++ b/internal/state/dependencies_test.go
@@ -24,8 +24,8 @@
 	h.m.applyEvents([]api.Event{e})
 }
 
-func acceptedJob(id, rank string, deadline float64, needs ...string) Job {
-	spec := &api.Job{ID: id, Team: "red", Form: api.FormArray, Rank: rank, Tasks: 1, EstimateS: 10, Dependencies: needs}
+func acceptedJob(id, rank string, deadline float64, dependencies ...string) Job {
+	spec := &api.Job{ID: id, Team: "red", Form: api.FormArray, Rank: rank, Tasks: 1, EstimateS: 10, Dependencies: dependencies}
 	if deadline > 0 {
 		spec.DeadlineS = &deadline
 	}
@@ -39,21 +39,21 @@
 		r := rand.New(rand.NewPCG(seed, 9))
 		h := &jobHistory{m: newTestMirror(0)}
 		type plain struct {
-			needs []string
-			phase JobPhase
+			dependencies []string
+			phase        JobPhase
 		}
 		jobs, ids := map[string]*plain{}, []string{}
 		var cancelled func(id string) bool
 		cancelled = func(id string) bool {
 			j := jobs[id]
 			out := j.phase == JobCancelled
-			for _, n := range j.needs {
+			for _, n := range j.dependencies {
 				out = out || j.phase != JobDone && cancelled(n)
 			}
 			return out
 		}
 		ready := func(id string) bool {
-			for _, n := range jobs[id].needs {
+			for _, n := range jobs[id].dependencies {
 				if jobs[n].phase != JobDone {
 					return false
 				}
@@ -73,10 +73,10 @@
 				}
 				p := &plain{phase: JobAccepted}
 				for range min(r.IntN(4), len(ids)) {
-					p.needs = append(p.needs, ids[len(ids)-1-r.IntN(min(len(ids), 6))])
+					p.dependencies = append(p.dependencies, ids[len(ids)-1-r.IntN(min(len(ids), 6))])
 				}
 				jobs[name], ids = p, append(ids, name)
-				h.put(name, acceptedJob(name, api.RankStandard, 0, p.needs...))
+				h.put(name, acceptedJob(name, api.RankStandard, 0, p.dependencies...))
 			case cancelled(id) || jobs[id].phase != JobAccepted:
 			case r.IntN(4) == 0:
 				jobs[id].phase = JobCancelled
@@ -99,9 +99,9 @@
 		for _, m := range []*Mirror{h.m, loaded} {
 			for _, id := range ids {
 				e := m.Jobs[core.JobID(id)]
-				_, begins := m.ReadyAt(e)
-				if e.Cancelled() != cancelled(id) || !e.Finished() && begins != ready(id) || (e.Phase == JobDone) != (jobs[id].phase == JobDone) {
-					t.Fatalf("seed %d: %s: cancelled %v, ready %v; want %v, %v", seed, id, e.Cancelled(), begins, cancelled(id), ready(id))
+				_, mayRun := m.ReadyAt(e)
+				if e.Cancelled() != cancelled(id) || !e.Finished() && mayRun != ready(id) || (e.Phase == JobDone) != (jobs[id].phase == JobDone) {
+					t.Fatalf("seed %d: %s: cancelled %v, ready %v; want %v, %v", seed, id, e.Cancelled(), mayRun, cancelled(id), ready(id))
 				}
 			}
 		}
@@ -117,14 +117,14 @@
 		began := time.Now()
 		for i := range n {
 			id := fmt.Sprintf("req-%06d", i)
-			needs := []string{}
+			dependencies := []string{}
 			switch {
 			case i > 0 && wide:
-				needs = []string{"req-000000"}
+				dependencies = []string{"req-000000"}
 			case i > 0:
-				needs = []string{fmt.Sprintf("req-%06d", i-1)}
+				dependencies = []string{fmt.Sprintf("req-%06d", i-1)}
 			}
-			h.put(id, acceptedJob(id, api.RankStandard, 0, needs...))
+			h.put(id, acceptedJob(id, api.RankStandard, 0, dependencies...))
 		}
 		h.put("req-000000", acceptedJob("req-000000", api.RankStandard, 0).End(JobCancelled, 0))
 		for i := range n {
--- a/internal/state/watch_test.go
+++ b/internal/state/watch_test.go
@@ -20,7 +20,7 @@
 	timers   []watchTimer
 	revision uint64
 	events   []api.Event
-	// late is the delay of a watch response that carries a change.
+	// delay is the delay of a watch response that carries a change.
 	delay time.Duration
 }
 
