--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -14,12 +14,12 @@
 type Config struct {
 	Host        core.Host
 	Zone        string
-	Bind        string
-	PeerBind    string
-	Peers       []Peer
-	Cloud       string
-	State       string
-	Nodes       int
+	Bind        string // listen address for users and workers
+	PeerBind    string // listen address for other controllers
+	Peers       []Peer // the other controllers
+	Cloud       string // address of the cloud
+	State       string // address of the state service
+	Nodes       int    // number of controllers
 	Zones       []string
 	Teams       []Team
 	Objectives  []Objective
@@ -49,13 +49,15 @@
 
 // Objective is a service-level objective on starting or finishing jobs, as set by users.
 type Objective struct {
-	Kind, Class    string
+	Kind, Class    string // kind of the objective and the job class it applies to
 	Within         time.Duration
-	Share          float64
-	DeadlineFactor float64
+	Share          float64 // share of the jobs that must meet the objective
+	DeadlineFactor float64 // multiple of a job's own deadline, 0: 1 (kind deadline)
 }
 
-// WorkerTimings holds the time-outs and intervals of workers.
+// WorkerTimings holds the time-outs and intervals of workers: the interval between reports, the
+// duration of a worker's lease, how long the tasks of a gang wait for each other, after what time
+// they exit when one of them is gone or hangs, and the time limit for stopping a cancelled job.
 type WorkerTimings struct {
 	Report, Lease, GangWait, GangPeer, Cancel time.Duration
 }
@@ -70,8 +72,8 @@
 // ones.
 type StateLimits struct {
 	RPS, WriteRPS float64
-	ValueBytes    int
-	TxnOps        int
+	ValueBytes    int // maximum size of a value, in bytes
+	TxnOps        int // maximum number of operations of a transaction
 }
 
 // CloudLimits holds the limits of the cloud. ListLag is the maximum staleness of its machine list.
@@ -82,9 +84,9 @@
 
 // Limits holds the resource limits of this process.
 type Limits struct {
-	CoreShare   float64
+	CoreShare   float64 // CPU cores
 	MemoryBytes int64
-	Sockets     int
+	Sockets     int // file descriptors
 }
 
 // Sockets reserved for fixed uses: the persistent connections to the two services, the connections
--- a/internal/config/operator.go
+++ b/internal/config/operator.go
@@ -16,11 +16,11 @@
 
 // Operator holds the operators' settings, with defaults for those that are not set.
 type Operator struct {
-	LeaseTTL    time.Duration
-	Blocks      int
-	IdleTimeout time.Duration
-	MemoryShare float64
-	RetryAfter  time.Duration
+	LeaseTTL    time.Duration // lifetime of a controller's lease in the state service
+	Blocks      int           // number of blocks
+	IdleTimeout time.Duration // how long an idle machine is kept before it is returned
+	MemoryShare float64       // share of the memory limit that is the runtime's soft memory limit
+	RetryAfter  time.Duration // Retry-After value of refusals
 }
 
 func parseOperator(text []byte, nodes int) (Operator, error) {
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -22,6 +22,7 @@
 	}
 }
 
+// applyEvents applies those events that are newer than the replica and reports them to OnChange.
 func (m *Mirror) applyEvents(events []api.Event) {
 	var t ChangeSet
 	for _, e := range events {
--- a/internal/state/edit.go
+++ b/internal/state/edit.go
@@ -15,14 +15,14 @@
 // not fit are refused and left for the next transaction.
 type Edit struct {
 	mirror      *Mirror
-	maxPartSize int // maximum size of a part, in bytes
-	partsLeft   int // parts that may still be changed
-	maxParts    int // maximum number of parts in any transaction
-	bytesLeft   int
-	stripe      int
-	added       bool
+	maxPartSize int  // maximum size of a part, in bytes
+	partsLeft   int  // parts that may still be changed
+	maxParts    int  // maximum number of parts in any transaction
+	bytesLeft   int  // bytes that may still be written
+	stripe      int  // parts of the pool that take machines added by this edit
+	added       bool // a machine was added, so the addition counter must be incremented
 	drafts      map[[2]int]*InventoryPart
-	order       [][2]int
+	order       [][2]int // keys of drafts in the order of their creation
 }
 
 // Edit returns an edit of at most ops parts. Machines added to the pool go to the parts of the
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -36,7 +36,7 @@
 	loadCount      int           // how often all keys were read
 	// catchingUp: a non-blocking watch is in flight.
 	catchingUp bool
-	epoch      int
+	epoch      int // incremented with each phase; callbacks of earlier epochs are ignored
 
 	Leader            Versioned[*Leader]
 	Term              Versioned[TermCounter]
--- a/internal/state/proof.go
+++ b/internal/state/proof.go
@@ -7,6 +7,7 @@
 	"lichenstair/internal/core"
 )
 
+// revisionWaiter is a call of WaitFor that waits for its revision.
 type revisionWaiter struct {
 	revision core.Revision
 	deadline core.Time
@@ -35,6 +36,7 @@
 	m.loop.After(proofTimeout, m.notifyWaiters)
 }
 
+// notifyWaiters calls back the waiters whose revision was reached or whose deadline has passed.
 func (m *Mirror) notifyWaiters() {
 	now := m.loop.Now()
 	var ready []func()
@@ -69,6 +71,7 @@
 	}
 }
 
+// requestProof reads the current revision for all pending proofs.
 func (m *Mirror) requestProof() {
 	callbacks := m.pendingProofs
 	m.pendingProofs = nil
--- a/internal/state/queue.go
+++ b/internal/state/queue.go
@@ -25,7 +25,7 @@
 var weights = [classCount]float64{classRead: 3, classWrite: 3, classBackground: 1}
 
 type queuedRequest struct {
-	writes int
+	writes int // changes in the transaction, 0 for other requests
 	send   func()
 }
 
@@ -90,6 +90,7 @@
 	return best, wait
 }
 
+// dispatch sends waiting requests until the limits require a pause, and schedules its next run.
 func (c *Client) dispatch() {
 	for {
 		class, wait := c.nextClass()
