--- /dev/null
+++ b/internal/state/dependencies_test.go
@@ -0,0 +1,156 @@
+package state
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"lichenstair/api"
+	"lichenstair/internal/core"
+)
+
+// jobHistory writes job records and keeps them in the order in which they were written.
+type jobHistory struct {
+	m        *Mirror
+	revision uint64
+	all      []api.Event
+}
+
+func (h *jobHistory) put(id string, j Job) {
+	h.revision++
+	e := api.Event{Set: KeyJob(core.JobID(id)), Value: Put("", j).Value, Version: h.revision}
+	h.all = append(h.all, e)
+	h.m.applyEvents([]api.Event{e})
+}
+
+func acceptedJob(id, rank string, deadline float64, dependencies ...string) Job {
+	spec := &api.Job{ID: id, Team: "red", Form: api.FormArray, Rank: rank, Tasks: 1, EstimateS: 10, Dependencies: dependencies}
+	if deadline > 0 {
+		spec.DeadlineS = &deadline
+	}
+	return Job{Phase: JobAccepted, Tasks: 1, AcceptedAt: 1000, Team: "red", Spec: spec}
+}
+
+// The states derived from job records do not depend on whether the records arrive one by one or are
+// loaded in key order, and equal those of a plain search along all dependency paths.
+func TestDerivedStatesDoNotDependOnOrder(t *testing.T) {
+	for seed := range uint64(200) {
+		r := rand.New(rand.NewPCG(seed, 9))
+		h := &jobHistory{m: newTestMirror(0)}
+		type plain struct {
+			dependencies []string
+			phase        JobPhase
+		}
+		jobs, ids := map[string]*plain{}, []string{}
+		var cancelled func(id string) bool
+		cancelled = func(id string) bool {
+			j := jobs[id]
+			out := j.phase == JobCancelled
+			for _, n := range j.dependencies {
+				out = out || j.phase != JobDone && cancelled(n)
+			}
+			return out
+		}
+		ready := func(id string) bool {
+			for _, n := range jobs[id].dependencies {
+				if jobs[n].phase != JobDone {
+					return false
+				}
+			}
+			return true
+		}
+		for range 60 {
+			id := ""
+			if len(ids) > 0 {
+				id = ids[r.IntN(len(ids))]
+			}
+			switch {
+			case id == "" || r.IntN(2) == 0:
+				name := fmt.Sprintf("req-%06d", r.IntN(900000)) // in no order
+				if jobs[name] != nil {
+					continue
+				}
+				p := &plain{phase: JobAccepted}
+				for range min(r.IntN(4), len(ids)) {
+					p.dependencies = append(p.dependencies, ids[len(ids)-1-r.IntN(min(len(ids), 6))])
+				}
+				jobs[name], ids = p, append(ids, name)
+				h.put(name, acceptedJob(name, api.RankStandard, 0, p.dependencies...))
+			case cancelled(id) || jobs[id].phase != JobAccepted:
+			case r.IntN(4) == 0:
+				jobs[id].phase = JobCancelled
+				h.put(id, acceptedJob(id, api.RankStandard, 0).End(JobCancelled, 0))
+			case ready(id):
+				jobs[id].phase = JobDone
+				h.put(id, acceptedJob(id, api.RankStandard, 0).End(JobDone, core.WallTime(h.revision)))
+			}
+		}
+		loaded := newTestMirror(0)
+		last := map[string]api.Event{}
+		for _, e := range h.all {
+			last[e.Set] = e
+		}
+		var page []api.Event
+		for _, key := range core.SortedKeys(last) {
+			page = append(page, last[key])
+		}
+		loaded.applyEvents(page)
+		for _, m := range []*Mirror{h.m, loaded} {
+			for _, id := range ids {
+				e := m.Jobs[core.JobID(id)]
+				_, mayRun := m.ReadyAt(e)
+				if e.Cancelled() != cancelled(id) || !e.Finished() && mayRun != ready(id) || (e.Phase == JobDone) != (jobs[id].phase == JobDone) {
+					t.Fatalf("seed %d: %s: cancelled %v, ready %v; want %v, %v", seed, id, e.Cancelled(), mayRun, cancelled(id), ready(id))
+				}
+			}
+		}
+	}
+}
+
+// The cost of a change is proportional to the jobs that it affects, and long dependency chains do
+// not overflow the stack.
+func TestLongChainAndManyDependents(t *testing.T) {
+	const n = 30_000
+	for _, wide := range []bool{false, true} {
+		h := &jobHistory{m: newTestMirror(0)}
+		began := time.Now()
+		for i := range n {
+			id := fmt.Sprintf("req-%06d", i)
+			dependencies := []string{}
+			switch {
+			case i > 0 && wide:
+				dependencies = []string{"req-000000"}
+			case i > 0:
+				dependencies = []string{fmt.Sprintf("req-%06d", i-1)}
+			}
+			h.put(id, acceptedJob(id, api.RankStandard, 0, dependencies...))
+		}
+		h.put("req-000000", acceptedJob("req-000000", api.RankStandard, 0).End(JobCancelled, 0))
+		for i := range n {
+			if !h.m.Jobs[core.JobID(fmt.Sprintf("req-%06d", i))].Cancelled() {
+				t.Fatalf("wide %v: job %d is not cancelled", wide, i)
+			}
+		}
+		if len(h.m.dependents) > 0 {
+			t.Fatalf("wide %v: dependents still registered for %d finished jobs", wide, len(h.m.dependents))
+		}
+		if d := time.Since(began); d > 20*time.Second {
+			t.Fatalf("wide %v: took %s, want at most 20s", wide, d)
+		}
+	}
+}
+
+// A job inherits the highest rank of its dependents, and its deadline is theirs less the estimates
+// of the jobs between.
+func TestUrgencyIsInherited(t *testing.T) {
+	h := &jobHistory{m: newTestMirror(0)}
+	h.put("req-1", acceptedJob("req-1", api.RankBestEffort, 0))
+	h.put("req-2", acceptedJob("req-2", api.RankStandard, 0, "req-1"))
+	h.put("req-3", acceptedJob("req-3", api.RankHigh, 100, "req-2"))
+	h.put("req-4", acceptedJob("req-4", api.RankProduction, 500, "req-2"))
+	first, second := h.m.Jobs["req-1"].Urgency, h.m.Jobs["req-2"].Urgency
+	if second.Rank != 3 || first.Rank != 3 || second.Deadline != 1000+100_000-10_000-jobTransitionMS || first.Deadline != second.Deadline-10_000-jobTransitionMS {
+		t.Fatalf("inherited urgencies: %+v, %+v", first, second)
+	}
+}
