--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -108,6 +108,7 @@
 	return out
 }
 
+// applyTypes replaces the machine types; a removal is ignored.
 func (m *Mirror) applyTypes(key string, e api.Event) {
 	var list []api.MachineType
 	if !m.decode(key, e, &list) {
@@ -127,6 +128,7 @@
 	}
 }
 
+// applyBlock applies a block record. A removal is ignored: blocks are never removed.
 func (m *Mirror) applyBlock(key string, e api.Event) {
 	number, err := strconv.Atoi(strings.TrimPrefix(key, blockPrefix))
 	if err != nil {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -126,9 +126,9 @@
 }
 
 // adaptToLimits reacts to a response that signals an exceeded limit. The service may lower its
-// limits below the configured ones. If a transaction was too large, the maximum number of writes in one
-// is halved for shrinkPeriod, down to 1/maxShrinkFactor; if the rate was too high, the write bucket
-// is emptied.
+// limits below the configured ones. If a transaction was too large, the maximum number of writes in
+// one is halved for shrinkPeriod, down to 1/maxShrinkFactor; if the rate was too high, the write
+// bucket is emptied.
 func (c *Client) adaptToLimits(status int, out Outcome) {
 	switch {
 	case out == Oversized:
