--- a/internal/sim/checker.go
+++ b/internal/sim/checker.go
@@ -31,12 +31,12 @@
 
 	now           SimTime
 	teams         map[string]config.Team
-	cancelLimit   time.Duration
+	cancelLimit   time.Duration // how long tasks may run after their job was reported as cancelled
 	jobs          map[string]*jobState
-	placed        map[core.TaskID]map[string]MachineInfo
-	cpus          map[string]float64
-	gpus          map[string]float64
-	polls         []pollResult
+	placed        map[core.TaskID]map[string]MachineInfo // machines that a task is on, by ID
+	cpus          map[string]float64                     // in use, by team
+	gpus          map[string]float64                     // in use, by team
+	polls         []pollResult                           // of the last pollWindow, oldest first
 	nextCheck     SimTime
 	faultsEndedAt SimTime // when the last fault ended; 0: faults may still be active
 }
@@ -54,11 +54,11 @@
 	placed          int     // its tasks that are on machines, replaced attempts included
 	doneAt          SimTime // when its last task completed; 0: not yet
 	acceptedAt      SimTime // when its user was first told that it is accepted
-	answeredAt      SimTime // when a query about it was last answered
+	answeredAt      SimTime // when a user was last told its phase
 	begun           bool
 	begunAt         SimTime
 	failsAlways     bool
-	freeSince       map[string]SimTime // machines with free capacity for it, and since when it has waited while they had it
+	freeSince       map[string]SimTime // by machine ID: since when it has waited while the machine had capacity for it
 }
 
 // NewChecker returns a checker for the given teams and the time allowed for a cancellation.
--- a/internal/sim/checker_test.go
+++ b/internal/sim/checker_test.go
@@ -205,7 +205,7 @@
 				}
 			}
 		}
-		c.Violations = nil // the tasks started together break rules that this test does not check
+		c.Violations = nil // only CheckStarvation is tested here
 		c.CheckStarvation()
 		switch {
 		case tc.starved == "" && len(c.Violations) > 0:
--- a/internal/sim/checkstarvation.go
+++ b/internal/sim/checkstarvation.go
@@ -8,7 +8,10 @@
 
 // CheckStarvation checks that no class, no team and none of the classes' largest jobs were
 // starved: at least half of each group must have begun, the largest within four minutes of
-// their acceptance or of the end of the last fault.
+// their acceptance, of the completion of their dependencies or of the end of the last fault. The
+// largest jobs are the tenth of a class with the most CPUs. Only jobs that could have
+// started more than four minutes ago count, without those that are to be cancelled or always
+// fail.
 func (c *Checker) CheckStarvation() {
 	type count struct{ all, served int }
 	counts := map[string]*count{}
--- a/internal/sim/checkusers.go
+++ b/internal/sim/checkusers.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// cancelWanted reports whether a user wants the job or one of its dependencies cancelled.
+// cancelWanted reports whether a user wants the job or one of its direct or transitive
+// dependencies cancelled.
 func (c *Checker) cancelWanted(id string) (out bool) {
 	c.visitDependencies(c.jobs[id], func(x *jobState) bool {
 		out = out || x.cancelRequested
@@ -69,7 +70,8 @@
 	return out
 }
 
-// cancelledDependency returns a dependency of j that a user was told is cancelled, or nil.
+// cancelledDependency returns a direct or transitive dependency of j that a user was told is
+// cancelled, or nil.
 func (c *Checker) cancelledDependency(j *jobState) (out *jobState) {
 	if len(j.spec.Dependencies) == 0 {
 		return nil
@@ -83,7 +85,7 @@
 	return out
 }
 
-// dependenciesDone reports whether all dependencies of a job are done, and since when.
+// dependenciesDone reports whether all direct dependencies of a job are done, and since when.
 func (c *Checker) dependenciesDone(j *jobState) (at SimTime, ok bool) {
 	for _, id := range j.spec.Dependencies {
 		b := c.jobs[id]
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -17,14 +17,14 @@
 type Cloud struct {
 	w            *World
 	Types        []api.MachineType
-	Capacity     map[string]int // free machines, keyed by type/zone/spot
-	machines     map[string]*Machine
-	byAddr       map[string]*Machine
+	Capacity     map[string]int      // free machines, keyed by type/zone/spot
+	machines     map[string]*Machine // machines that exist, by ID
+	byAddr       map[string]*Machine // all machines there ever were, by address
 	rentals      map[string][]string // IDs of the rented machines, by request
-	next         int
-	downUntil    SimTime
-	rate         tokenBucket
-	BootFailProb float64
+	next         int                 // number of the next machine
+	downUntil    SimTime             // requests are answered 503 until then
+	requests     tokenBucket
+	BootFailProb float64 // probability that a rented machine never boots
 	// BootTimeFactor multiplies the boot time of machines; 0 means 1.
 	BootTimeFactor float64
 	LateCallProb   float64 // probability that a rental or return is carried out 10 to 90 s late, its answer lost
@@ -33,7 +33,7 @@
 func newCloud(w *World) *Cloud {
 	return &Cloud{
 		w: w, Capacity: map[string]int{}, machines: map[string]*Machine{}, byAddr: map[string]*Machine{}, rentals: map[string][]string{},
-		rate: tokenBucket{rate: w.Cfg.CloudLimits.RPS * 2, level: w.Cfg.CloudLimits.RPS * 2},
+		requests: tokenBucket{rate: w.Cfg.CloudLimits.RPS * 2, level: w.Cfg.CloudLimits.RPS * 2},
 	}
 }
 
@@ -80,7 +80,7 @@
 	return out
 }
 
-// Reclaim removes a machine, as the cloud does with spot machines.
+// Reclaim removes a machine that was returned, or a spot machine that the cloud takes back.
 func (c *Cloud) Reclaim(m *Machine) {
 	if c.machines[m.ID] == nil {
 		return
@@ -90,6 +90,7 @@
 	c.Capacity[capacityKey(m.typ.Name, m.zone, m.spot)]++
 }
 
+// handle serves a request after 50 to 300 ms, or late and without an answer (LateCallProb).
 func (c *Cloud) handle(_ endpoint, r core.Request, reply func(core.Response)) {
 	delay := time.Duration(c.w.uniform(50, 300) * float64(time.Millisecond))
 	if c.LateCallProb > 0 && r.Method == "POST" && c.w.chance(c.LateCallProb) {
@@ -104,7 +105,7 @@
 		reply(answer(503, api.Error{Error: "trouble"}))
 		return
 	}
-	if !c.rate.take(c.w.now, 1) {
+	if !c.requests.take(c.w.now, 1) {
 		reply(answer(429, api.Error{Error: "too many requests"}))
 		return
 	}
@@ -170,7 +171,8 @@
 	reply(answer(200, api.MachineIDs{Machines: got}))
 }
 
-// list returns the machines as they were at a time, without those that no longer exist.
+// list returns up to most machines with IDs after from, as they were at a time, without those
+// that no longer exist.
 func (c *Cloud) list(at SimTime, from string, most int) api.MachineList {
 	l := api.MachineList{Machines: []api.ListedMachine{}}
 	var ids []string
--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -30,7 +30,7 @@
 	return j
 }
 
-// fillTeamLimits submits jobs of long tasks for every team until all teams are at their limits.
+// fillTeamLimits submits jobs of long tasks for every team that together need its CPU limit.
 func fillTeamLimits(w *World, n int) {
 	for i, team := range w.Cfg.Teams {
 		for k := range 3 {
@@ -59,6 +59,7 @@
 // injectAt injects a fault at a time in seconds.
 func injectAt(w *World, s float64, name string) { at(w, s, func() { Faults[name](w) }) }
 
+// combinedFaults lists the combinations that TestCombinedFaults plays.
 var combinedFaults = []combination{
 	{"leader rejected, cancellations, then an outage for all, twice", func(w *World) {
 		at(w, 60, func() { cancelBeforeOutage(w) })
@@ -422,8 +423,9 @@
 	}
 }
 
-// A machine whose reports reach no controller, although it answers commands, gets no work. It
-// used to be planned for repeatedly, each time for seconds, while the planned tasks waited.
+// A machine whose reports reach no controller, although it answers commands, gets no work and is
+// returned to the cloud. It used to be planned for repeatedly, each time for seconds, while the planned tasks
+// waited.
 func TestMachineWithoutReportsGetsNoWork(t *testing.T) {
 	w := NewWorld(Settings(3), 41, nil)
 	w.Populate()
@@ -517,21 +519,21 @@
 	for _, phase := range []state.JobPhase{state.JobDone, state.JobCancelled} {
 		w := NewWorld(Settings(3), 43, nil)
 		w.Populate()
-		met := map[string]bool{}
+		delayed := map[string]bool{}
 		w.State.OnTxn = func(from core.Host, t api.Txn) (f TxnFault) {
 			for _, c := range t.Then {
 				id, isJob := strings.CutPrefix(c.Set, state.KeyJob(""))
 				var j state.Job
-				if !isJob || api.Decode(c.Value, &j) != nil || met[id] {
+				if !isJob || api.Decode(c.Value, &j) != nil || delayed[id] {
 					continue
 				}
 				switch {
 				case j.Phase == state.JobDone && phase == state.JobDone:
-					met[id] = true
+					delayed[id] = true
 					w.Users.Cancel(id)
 					f.ApplyDelay = time.Second
 				case j.Phase == state.JobCancelled && phase == state.JobCancelled:
-					met[id] = true
+					delayed[id] = true
 					f.ApplyDelay = time.Second
 				}
 			}
@@ -558,8 +560,8 @@
 				cancelled++
 			}
 		}
-		if len(met) < 10 || done+cancelled < 20 || phase == state.JobDone && cancelled == 0 {
-			t.Fatalf("%s late: %d writes delayed, %d jobs done, %d cancelled", phase, len(met), done, cancelled)
+		if len(delayed) < 10 || done+cancelled < 20 || phase == state.JobDone && cancelled == 0 {
+			t.Fatalf("%s late: %d writes delayed, %d jobs done, %d cancelled", phase, len(delayed), done, cancelled)
 		}
 	}
 }
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -277,7 +277,7 @@
 }
 
 // isolateWithHalf cuts a controller off from the state service, the other controllers and half of
-// the machines, which are the only ones that the other controllers reach.
+// the machines. The other controllers reach only that half.
 func (w *World) isolateWithHalf(h *Host, d time.Duration) {
 	w.Partition(endpoint(h.name), "state", d, false)
 	for _, o := range w.Hosts {
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -35,18 +35,19 @@
 	return &Host{w: w, name: core.Host(fmt.Sprintf("c%d", i)), addr: fmt.Sprintf("10.0.0.%d:8080", i+1), clockRate: 1 + w.uniform(-0.0005, 0.0005)}
 }
 
-// process is one run of a controller. It implements the Loop and the Caller of its node.
+// process is one run of a controller. It implements the core.Loop and the core.Caller of its
+// node.
 type process struct {
 	h       *Host
 	started SimTime
 	node    *node.Node
 	dead    bool
-	// Calls in flight to workers and requests not yet inner, their peaks, and the bounds
-	// that a real process keeps.
+	// Calls in flight to workers and requests not yet answered, their peaks, and the limits
+	// that a real process enforces.
 	calls, peakCalls  int
 	open, peakOpen    int
 	maxCalls, maxOpen int
-	previous          bool
+	previousVersion   bool // see Host.PreviousVersion
 }
 
 // Start starts the controller unless it is running.
@@ -54,10 +55,10 @@
 	if h.process != nil {
 		return
 	}
-	p := &process{h: h, started: h.w.now, previous: h.PreviousVersion}
+	p := &process{h: h, started: h.w.now, previousVersion: h.PreviousVersion}
 	h.process = p
 	cfg := h.w.Cfg
-	if p.previous {
+	if p.previousVersion {
 		cfg.StateLimits = h.w.PreviousLimits
 	}
 	cfg.Host = h.name
@@ -108,14 +109,14 @@
 // WallNow returns the wall-clock time.
 func (p *process) WallNow() core.WallTime { return Epoch + core.WallTime(p.h.w.now.Milliseconds()) }
 
-// After runs f after d by the process's monotonic clock, rounded up by 1 ms.
+// After runs f after d by the process's monotonic clock, plus 1 ms.
 func (p *process) After(d time.Duration, f func()) {
 	p.h.w.After(time.Duration(float64(max(d, 0))/p.h.clockRate)+time.Millisecond, func() { p.do(f) })
 }
 
 // Call sends a request. A call to a worker beyond the limit gets an empty response at once.
 func (p *process) Call(r core.Request, done func(core.Response)) {
-	if p.previous && r.Path == "/txn" {
+	if p.previousVersion && r.Path == "/txn" {
 		r.Body = withoutNewFields(r.Body)
 	}
 	if r.Addr != p.h.w.Cfg.State && r.Addr != p.h.w.Cfg.Cloud {
@@ -137,13 +138,13 @@
 // broadcast sends a frame to all other controllers.
 func (p *process) broadcast(frame []byte) {
 	_, heartbeat, _ := peer.DecodeHeartbeat(frame)
-	if p.previous && !heartbeat {
+	if p.previousVersion && !heartbeat {
 		return
 	}
 	for _, o := range p.h.w.Hosts {
 		if o != p.h && !p.dead {
 			p.h.w.deliver(endpoint(p.h.name), endpoint(o.name), func() {
-				if q := o.process; q != nil && !(q.previous && !heartbeat) {
+				if q := o.process; q != nil && !(q.previousVersion && !heartbeat) {
 					q.do(func() { q.node.HandleFrame(frame) })
 				}
 			})
@@ -178,7 +179,7 @@
 }
 
 // probe checks the controller's readiness about once a second, as the load balancer does. Two
-// equal results in a row change its health.
+// equal results in a row set its health.
 func (h *Host) probe() {
 	h.w.After(time.Second, h.probe)
 	h.w.exchange("users", core.Request{Addr: h.addr, Method: "GET", Path: "/ready", Timeout: time.Second}, func(res core.Response) {
--- a/internal/sim/pipeline_test.go
+++ b/internal/sim/pipeline_test.go
@@ -65,17 +65,17 @@
 	w.Populate()
 	teams := []string{"red", "blue", "green", "grey"}
 	// Submits each job as soon as its dependencies are accepted, as users do.
-	var when func(j api.Job)
-	when = func(j api.Job) {
+	var submitWhenReady func(j api.Job)
+	submitWhenReady = func(j api.Job) {
 		for _, id := range j.Dependencies {
 			if b := w.Users.jobs[id]; b == nil || !b.accepted {
-				w.After(20*time.Millisecond, func() { when(j) })
+				w.After(20*time.Millisecond, func() { submitWhenReady(j) })
 				return
 			}
 		}
 		w.Users.Submit(j)
 	}
-	submit := func(s float64, j api.Job) { at(w, s, func() { when(j) }) }
+	submit := func(s float64, j api.Job) { at(w, s, func() { submitWhenReady(j) }) }
 	last := ""
 	for i := range 12 { // a chain through all blocks
 		j := w.step(100+i, teams[i%4])
--- a/internal/sim/replay.go
+++ b/internal/sim/replay.go
@@ -9,7 +9,7 @@
 // recordedReports holds a copy of one report of each machine.
 type recordedReports struct {
 	recording bool
-	until     SimTime
+	until     SimTime // block grants after this time replay nothing
 	reports   map[endpoint]core.Request
 }
 
--- a/internal/sim/scenario.go
+++ b/internal/sim/scenario.go
@@ -83,7 +83,8 @@
 	return j
 }
 
-// GenerateLoad submits jobs at random intervals until a time, and cancels some of them.
+// GenerateLoad submits jobs until a time, at random intervals of 0.2 to 2 times every. It cancels
+// some of them, makes a few fail on every machine, and queries jobs that nobody submitted.
 func (w *World) GenerateLoad(until SimTime, every time.Duration) {
 	n := 0
 	var next func()
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -115,7 +115,8 @@
 	}
 }
 
-// Without faults, at least nine in ten accepted jobs end.
+// Without faults, at least nine in ten accepted jobs end, and all machines are returned once
+// they are idle.
 func TestNoFaults(t *testing.T) {
 	for seed := range seeds(4) {
 		w := play(t, seed+1, nil, 300*time.Second)
@@ -234,7 +235,7 @@
 	w.Populate()
 	w.GenerateLoad(120*time.Second, 2*time.Second)
 	w.Run(100 * time.Second)
-	record := func(id string) (doomed, found bool) {
+	record := func(id string) (expiring, found bool) {
 		for key, e := range w.State.keys {
 			var p state.InventoryPart
 			if !strings.HasPrefix(key, "lichenstair/machines/") || strings.Contains(key, "/pool/") || json.Unmarshal(e.value, &p) != nil {
@@ -250,12 +251,12 @@
 	}
 	notified := 0
 	for _, m := range w.Cloud.RunningMachines() {
-		if doomed, found := record(m.ID); !found || doomed || len(m.tasks) == 0 {
+		if expiring, found := record(m.ID); !found || expiring || len(m.tasks) == 0 {
 			continue
 		}
 		m.NotifyReclaim(30 * time.Second)
 		w.Run(w.Now() + 4*time.Second)
-		if doomed, found := record(m.ID); found && !doomed {
+		if expiring, found := record(m.ID); found && !expiring {
 			t.Fatalf("machine %s has a reclaim notice and its record is not marked", m.ID)
 		}
 		if notified++; notified == 3 {
--- a/internal/sim/soak_test.go
+++ b/internal/sim/soak_test.go
@@ -23,9 +23,9 @@
 }
 
 // play plays the run and returns the violations.
-func (d soakRun) play(seed uint64) []string {
-	w := fleet(d.controllers, d.machines, seed)
-	w.fleetLoad(100*time.Second, d.arrays, d.gangs)
+func (r soakRun) play(seed uint64) []string {
+	w := fleet(r.controllers, r.machines, seed)
+	w.fleetLoad(100*time.Second, r.arrays, r.gangs)
 	names := faultNames()
 	fault := func(at float64, name string) {
 		w.At(time.Duration(at*float64(time.Second)), func() { Faults[name](w) })
@@ -55,11 +55,11 @@
 	}
 	began := time.Now()
 	for seed := first; time.Since(began) < length; seed++ {
-		day := soakRuns[seed%uint64(len(soakRuns))]
-		broken := day.play(seed)
-		t.Logf("seed %d, %d machines: %d rules broken, %s since the start", seed, day.machines, len(broken), time.Since(began).Round(time.Second))
+		run := soakRuns[seed%uint64(len(soakRuns))]
+		broken := run.play(seed)
+		t.Logf("seed %d, %d machines: %d rules broken, %s since the start", seed, run.machines, len(broken), time.Since(began).Round(time.Second))
 		if len(broken) > 0 {
-			t.Errorf("seed %d, %+v: %v", seed, day, broken)
+			t.Errorf("seed %d, %+v: %v", seed, run, broken)
 		}
 	}
 }
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -17,19 +17,19 @@
 // StateService simulates the state service.
 type StateService struct {
 	w             *World
-	revision      uint64
+	revision      uint64 // of the last change
 	keys          map[string]*entry
-	log           []api.Event
-	compacted     uint64
+	log           []api.Event // changes, oldest first
+	compacted     uint64      // watches from before this revision are answered 410
 	leases        map[uint64]*lease
-	nextID        uint64
+	lastLeaseID   uint64
 	watches       []*watch
-	downUntil     SimTime
+	downUntil     SimTime // all requests are answered 503 until then
 	slowUntil     SimTime
 	rejectedUntil map[endpoint]SimTime // until when each controller's requests are answered 503
-	requests      tokenBucket
-	writes        tokenBucket
-	RateLimited   int
+	requests      tokenBucket          // limits requests
+	writes        tokenBucket          // limits changed keys
+	RateLimited   int                  // requests answered 429
 	lim           config.StateLimits
 	// UnannouncedLimits is set when the limits have been lowered below those in the settings:
 	// transactions that exceed them are refused, but break no rule.
@@ -89,18 +89,19 @@
 	return s.w.host(l.Host)
 }
 
-// entry is the value of a key, the revision that set it, and the lease it belongs to (0: none).
+// entry is the value of a key, the revision that set it, and the ID of the lease it belongs to
+// (0: none).
 type entry struct {
-	value   json.RawMessage
-	version uint64
-	lease   uint64
+	value    json.RawMessage
+	revision uint64
+	lease    uint64
 }
 
-// lease is a lease with its time to live. version counts the renewals.
+// lease is a lease with its time to live and the number of its renewals.
 type lease struct {
-	ttl     time.Duration
-	expires SimTime
-	version int
+	ttl      time.Duration
+	expires  SimTime
+	renewals int
 }
 
 // watch is an open watch request.
@@ -114,8 +115,8 @@
 
 // tokenBucket is a rate limiter that holds at most one second's tokens.
 type tokenBucket struct {
-	rate, level float64
-	at          SimTime
+	rate, level float64 // tokens per second, tokens held
+	at          SimTime // when level was last updated
 }
 
 // take takes n tokens if there are as many, and reports whether it did.
@@ -166,7 +167,8 @@
 	return s.w.now < s.downUntil || s.w.now < s.rejectedUntil[from]
 }
 
-// handle serves a request after a random delay.
+// handle serves a request after 1 to 8 ms, one in a hundred after 100 to 500 ms, and while the
+// service is slow after 100 ms to 2.5 s.
 func (s *StateService) handle(from endpoint, r core.Request, reply func(core.Response)) {
 	delay := time.Duration(s.w.uniform(1, 8) * float64(time.Millisecond))
 	switch {
@@ -234,10 +236,10 @@
 			send(answer(400, api.Error{Error: "malformed"}))
 			return
 		}
-		s.nextID++
-		s.leases[s.nextID] = &lease{ttl: time.Duration(t.TTLMS) * time.Millisecond}
-		s.renewLease(s.nextID)
-		send(answer(200, api.LeaseResponse{LeaseID: s.nextID}))
+		s.lastLeaseID++
+		s.leases[s.lastLeaseID] = &lease{ttl: time.Duration(t.TTLMS) * time.Millisecond}
+		s.renewLease(s.lastLeaseID)
+		send(answer(200, api.LeaseResponse{LeaseID: s.lastLeaseID}))
 	case strings.HasPrefix(path, "/grants/"):
 		rest, renew := strings.CutSuffix(strings.TrimPrefix(path, "/grants/"), "/renew")
 		id, _ := strconv.ParseUint(rest, 10, 64)
@@ -256,14 +258,15 @@
 	}
 }
 
-// renewLease gives a lease its full time again and schedules its expiry.
+// renewLease gives a lease its full time again and schedules its expiry. Leases do not expire
+// during an outage.
 func (s *StateService) renewLease(id uint64) {
 	l := s.leases[id]
-	l.version++
-	v := l.version
+	l.renewals++
+	v := l.renewals
 	l.expires = s.w.now + l.ttl
 	s.w.After(l.ttl+time.Duration(s.w.uniform(0, 100))*time.Millisecond, func() {
-		if s.leases[id] == l && l.version == v && s.w.now >= s.downUntil {
+		if s.leases[id] == l && l.renewals == v && s.w.now >= s.downUntil {
 			s.endLease(id)
 		}
 	})
@@ -321,7 +324,7 @@
 	for _, c := range t.If {
 		v := uint64(0)
 		if e := s.keys[c.Key]; e != nil {
-			v = e.version
+			v = e.revision
 		}
 		if v != c.Version {
 			failed = append(failed, c.Key)
@@ -393,7 +396,7 @@
 			break
 		}
 		e := s.keys[k]
-		p.Items = append(p.Items, api.Item{Key: k, Value: e.value, Version: e.version, LeaseID: e.lease})
+		p.Items = append(p.Items, api.Item{Key: k, Value: e.value, Version: e.revision, LeaseID: e.lease})
 	}
 	reply(answer(200, p))
 }
--- a/internal/sim/tasks.go
+++ b/internal/sim/tasks.go
@@ -16,14 +16,15 @@
 	attempt uint64
 }
 
+// task is an attempt of a task on a machine.
 type task struct {
 	taskKey
 	m     *Machine
-	state string
-	cause string
-	saved bool
-	job   *api.Job
-	gang  *gang
+	state string   // as reported, api.TaskFetching and so on
+	cause string   // why it exited, as reported
+	saved bool     // it had time to save a checkpoint before it was stopped
+	job   *api.Job // nil if there is no such task
+	gang  *gang    // nil before it has joined one
 }
 
 type gangKey struct {
@@ -33,9 +34,9 @@
 
 // gang is one attempt of a gang.
 type gang struct {
-	members map[int]*task
-	running bool
-	ended   bool
+	members map[int]*task // those on a machine, by task index
+	running bool          // all members have joined, so the gang was started
+	ended   bool          // done or broken up
 }
 
 // leave records that a task is no longer on the machine, and breaks up its gang if that is
@@ -53,8 +54,8 @@
 	}
 }
 
-// breakGang ends the other tasks of a gang within the gang's peer time-out, since one of them
-// is gone or hangs.
+// breakGang ends the tasks of a gang within the peer time-out of gangs, since one of them is gone
+// or hangs.
 func (m *Machine) breakGang(g *gang) {
 	g.ended = true
 	for _, i := range core.SortedKeys(g.members) {
@@ -96,7 +97,8 @@
 	m.report(500 * time.Millisecond)
 }
 
-// execute carries out the commands of a controller.
+// execute carries out the commands of a controller. A task that is told to stop saves a checkpoint
+// if its job takes any and the grace time is long enough for it.
 func (m *Machine) execute(commands []api.Command) {
 	for _, o := range commands {
 		id, err := core.ParseTaskID(o.Task)
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -15,9 +15,9 @@
 type Users struct {
 	w        *World
 	jobs     map[string]*userJob
-	Accepted int
-	Done     int
-	Refused  int
+	Accepted int // jobs whose users were told that they are accepted
+	Done     int // jobs whose users were told that they are done
+	Refused  int // submissions, repeated ones included, without an answer or told to retry
 	// PollRateFactor multiplies the rate at which users poll; values below 1 count as 1.
 	PollRateFactor float64
 	// Unanswered counts polls without a usable answer in time.
@@ -31,16 +31,16 @@
 // userJob is a job as its user sees it.
 type userJob struct {
 	spec        api.Job
-	failsAlways bool // fails on every machine
+	failsAlways bool // fails on every machine, unless it is a gang
 	accepted    bool
 	final       string // done or cancelled, once its user was told so
 	retrying    bool   // an early retry of an unanswered poll is scheduled
 	submittedAt SimTime
-	acceptedAt  SimTime // when it was accepted
+	acceptedAt  SimTime // when its user learned that it was accepted
 	endedAt     SimTime // when its user learned that it had ended
 }
 
-// MarkFailing marks a job as one that fails on every machine.
+// MarkFailing marks a job as one whose tasks fail on every machine. It has no effect on gangs.
 func (u *Users) MarkFailing(id string) {
 	u.jobs[id].failsAlways = true
 	u.w.Checker.jobs[id].failsAlways = true
@@ -54,8 +54,8 @@
 	u.post(j)
 }
 
-// burstQuery queries all controllers about a job several times within milliseconds; some of the
-// queries repeat its submission.
+// burstQuery, if BurstQueries is set, queries all controllers about a job several times within
+// milliseconds; some of the queries repeat its submission.
 func (u *Users) burstQuery(j *userJob) {
 	if !u.BurstQueries {
 		return
@@ -123,8 +123,8 @@
 }
 
 // SendInvalid sends requests that users should not send: repeated submissions of unfinished
-// jobs, cancellations of completed jobs, and submissions that fit no machine or have missing or
-// invalid fields.
+// jobs, cancellations of completed jobs, and submissions of known and new jobs that fit no
+// machine, depend on themselves or an unknown job, or have missing or invalid fields.
 func (u *Users) SendInvalid() {
 	ids := core.SortedKeys(u.jobs)
 	if len(ids) == 0 {
@@ -300,8 +300,8 @@
 	})
 }
 
-// someAccepted returns the IDs of up to n accepted jobs in any phase, preferring later ones, so
-// that chains, fans and diamonds arise across teams.
+// someAccepted returns the IDs of up to n random ones of the eight accepted jobs with the highest
+// IDs, in any phase, so that chains, fan-outs and diamonds arise across teams.
 func (u *Users) someAccepted(n int) (out []string) {
 	var ids []string
 	for _, id := range core.SortedKeys(u.jobs) {
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -27,24 +27,24 @@
 	rentedAt         SimTime
 	bootedAt         SimTime
 	endedAt          SimTime
-	clockRate        float64 // speed of its clock relative to virtual time
-	Faulty           bool    // every task on it fails
-	hungUntil        SimTime
+	clockRate        float64  // speed of its clock relative to virtual time
+	Faulty           bool     // every task on it fails, except gangs
+	hungUntil        SimTime  // it executes nothing until then
 	reportsLostUntil SimTime  // its reports are lost until then
 	deferred         []func() // callbacks that came due while it hung
 
-	lostStarts   int // lost answers that held a start command
-	session      uint64
-	reportSeq    uint64
+	lostStarts   int     // lost answers that held a start command
+	session      uint64  // increases when the worker's lease expires
+	reportSeq    uint64  // sequence number of the last report
 	term         uint64  // highest term seen
 	lastAnswered SimTime // when the last answered report was sent
 	controller   int     // index of the host that it reports to
 	reporting    bool    // a report is in flight
 	lastReport   SimTime
-	nextReport   SimTime // when the next report is due
-	reportTimer  int     // number of the current report timer; earlier timers do nothing
-	reclaimAt    SimTime // when the cloud reclaims it; 0: no notice
-	images       map[string]bool
+	nextReport   SimTime         // when the next report is due
+	reportTimer  int             // number of the current report timer; earlier timers do nothing
+	reclaimAt    SimTime         // when the cloud reclaims it; 0: no notice
+	images       map[string]bool // container images already fetched
 	tasks        map[taskKey]*task
 }
 
@@ -82,7 +82,8 @@
 	m.report(0)
 }
 
-// Hang keeps the machine from executing anything for the given time.
+// Hang keeps the machine from executing anything for the given time. A hang that is longer than
+// the peer time-out of gangs breaks up the gangs running on it.
 func (m *Machine) Hang(d time.Duration) {
 	if m.phase != machineUp || m.w.now < m.hungUntil {
 		return
--- a/internal/sim/workerreport.go
+++ b/internal/sim/workerreport.go
@@ -9,7 +9,7 @@
 )
 
 // report schedules the next report, within d but no sooner than half a second after the last
-// one.
+// one. It does nothing while a report is in flight or, unless d is 0, if one is due as soon.
 func (m *Machine) report(d time.Duration) {
 	at := max(m.w.now+d, m.lastReport+500*time.Millisecond)
 	if d > 0 && m.nextReport > m.w.now && m.nextReport <= at || m.reporting {
@@ -77,7 +77,7 @@
 }
 
 // handleAnswer handles the answer to a report. The worker switches controllers if it is redirected,
-// if the answer is an error, or if it took more than 4 s by its own clock.
+// if the answer is missing or an error, or if it took more than 4 s by the worker's clock.
 func (m *Machine) handleAnswer(res core.Response, sent SimTime, session uint64) {
 	tryNextController := func() {
 		m.controller = (m.controller + 1) % len(m.w.Hosts)
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -1,6 +1,6 @@
 // Package sim simulates the state service, the cloud, the workers, the users and the network on
-// virtual time, following the published protocol. A run is determined by its seed alone. The
-// rules are checked after each step.
+// virtual time, following the published protocol, around controllers that run package node. A
+// run is determined by its seed alone. The rules are checked after each step.
 package sim
 
 import (
@@ -59,8 +59,8 @@
 
 	// Policy is the placement policy of the controllers.
 	Policy placement.Policy
-	// ResetProb is the probability that a connection is reset, either before the request
-	// arrives or after it was carried out.
+	// ResetProb is the probability that a connection is reset within 800 ms after a request was
+	// sent. Half of these requests arrive nevertheless, and only their answer is lost.
 	ResetProb float64
 	// DuplicateProb is the probability that a request arrives a second time, later.
 	DuplicateProb float64
@@ -80,11 +80,11 @@
 	recorded recordedReports
 
 	now        SimTime
-	seq        uint64
+	seq        uint64 // number of the last scheduled event
 	events     eventQueue
-	partitions []*partition
+	partitions []*partition // expired ones are removed when the next message is sent
 	gangs      map[gangKey]*gang
-	done       map[core.TaskID]bool
+	done       map[core.TaskID]bool // tasks completed on a machine
 }
 
 // Epoch is the wall-clock time at which simulations start.
@@ -155,7 +155,7 @@
 // address of a worker.
 type endpoint string
 
-// partition blocks messages from one party to another; "" stands for any party.
+// partition blocks messages from one endpoint to another; "" stands for any endpoint.
 type partition struct {
 	from, to endpoint
 	until    SimTime
@@ -174,8 +174,8 @@
 	w.PartitionOneWay(b, a, d, hold)
 }
 
-// deliver delivers f from one party to another unless a partition drops the message, and reports
-// whether it will be delivered.
+// deliver runs f when a message from one endpoint reaches another, unless a partition drops the
+// message, and reports whether it will be delivered.
 func (w *World) deliver(from, to endpoint, f func()) (sent bool) {
 	delay := time.Duration(w.uniform(0.2, 1.5) * float64(time.Millisecond))
 	if w.chance(0.001) {
