--- a/internal/block/answers.go
+++ b/internal/block/answers.go
@@ -8,8 +8,8 @@
 	"lichenstair/internal/core"
 )
 
-// HandleReport answers a worker's report. If there are no commands for the worker, the answer
-// is held back for up to answerDelay so that a start can still be sent with it. done(_, false)
+// HandleReport answers a worker's report. If there are no commands for the worker, the response
+// is held back for up to responseDelay so that a start can still be sent with it. done(_, false)
 // means that this holder must not answer for the machine.
 func (h *Holder) HandleReport(rep *api.Report, done func(api.ReportResponse, bool)) {
 	m := h.machines[core.MachineID(rep.Machine)]
@@ -34,7 +34,7 @@
 		}
 		if now.Sub(m.termUnseenSince) > h.Config.Workers.Lease/2 {
 			// The machine's reports still do not carry our term after half a lease, so our
-			// answers do not reach it. Counting them as lease renewals would postpone the
+			// responses do not reach it. Counting them as lease renewals would postpone the
 			// proven expiry of its lease indefinitely, and recovery of the whole block would
 			// wait for it.
 			h.noteMessage(m, fromReport, messageTermUnseen, m.session, m.sequence)
@@ -42,7 +42,7 @@
 			return
 		}
 	}
-	m.lastRenewal, m.lastAnswer = max(m.lastRenewal, now), now
+	m.lastRenewal, m.lastResponse = max(m.lastRenewal, now), now
 	if !fresh {
 		done(api.ReportResponse{Term: uint64(h.commandTerm(m)), Commands: []api.Command{}}, true)
 		return
@@ -54,7 +54,7 @@
 	}
 	held := &heldReport{done}
 	m.heldReport = held
-	h.Loop.After(h.answerDelay(m), func() {
+	h.Loop.After(h.responseDelay(m), func() {
 		if m.heldReport == held {
 			h.answerHeldReport(m)
 		}
@@ -78,12 +78,12 @@
 	return ""
 }
 
-// answerDelay returns how long the answer to a report may be held back. The worker's lease
-// counts from the sending of the report, and the worker drops the answer after four seconds. A
-// busy machine may not report again before minReportInterval has passed; holding its answer
+// responseDelay returns how long the response to a report may be held back. The worker's lease
+// counts from the sending of the report, and the worker drops the response after four seconds. A
+// busy machine may not report again before minReportInterval has passed; holding its response
 // until just before then lets the next pass send starts at once instead of with a report that
 // may be seconds away.
-func (h *Holder) answerDelay(m *machine) time.Duration {
+func (h *Holder) responseDelay(m *machine) time.Duration {
 	if !m.empty() && !m.onlyPlanned() {
 		return minReportInterval - 50*time.Millisecond
 	}
@@ -101,7 +101,7 @@
 		held.done(api.ReportResponse{}, false)
 		return
 	}
-	m.lastAnswer = h.Loop.Now()
+	m.lastResponse = h.Loop.Now()
 	held.done(api.ReportResponse{Term: uint64(h.commandTerm(m)), Commands: h.commands(m)}, true)
 }
 
@@ -129,16 +129,16 @@
 	return false
 }
 
-// unwantedReason returns why a task should not be on a machine: its job is over, unknown or
-// not placed by this block, or has no use for this attempt. It is empty if the task should be
-// there.
+// unwantedReason returns why a task should not be on a machine: its job is finished, unknown,
+// cancelled or not placed by this block, or has no use for this attempt. It is empty if the
+// task should be there.
 func (h *Holder) unwantedReason(s *slot) stopReason {
 	e, j := h.Mirror.Jobs[s.task.Job], h.jobs[s.task.Job]
 	switch {
 	case e == nil:
 		return stopUnknownJob
 	case e.Finished():
-		return stopJobOver
+		return stopJobFinished
 	case j == nil:
 		return stopOtherBlock
 	case j.cancelled:
@@ -187,7 +187,7 @@
 				kills = append(kills, command)
 			}
 		case planned:
-			if h.acceptsStarts(m) && len(runs) < maxStartsPerAnswer {
+			if h.acceptsStarts(m) && len(runs) < maxStartsPerResponse {
 				h.setSlotState(s, starting)
 				s.sentAt, s.sentSession, s.sentSequence = now, m.session, m.sequence
 				h.noteStart(s)
--- a/internal/block/attempts.go
+++ b/internal/block/attempts.go
@@ -19,7 +19,7 @@
 	if s.state == to {
 		return
 	}
-	h.Log.Debug("task state changed", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "from", s.state.String(), "to", to.String())
+	h.Log.Debug("attempt state changed", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "from", s.state.String(), "to", to.String())
 	was := s.booked()
 	s.state = to
 	if was && !s.booked() {
--- a/internal/block/attempts_test.go
+++ b/internal/block/attempts_test.go
@@ -46,7 +46,7 @@
 	return api.TaskStatus{Task: task, Attempt: attempt, State: api.TaskRunning}
 }
 
-// countKills counts the commands to stop an attempt that the next answer to a machine carries.
+// countKills counts the commands to stop an attempt that the next response to a machine carries.
 func countKills(h *Holder, m *machine, attempt uint64) (n int) {
 	for _, o := range h.commands(m) {
 		if o.Verb == api.VerbKill && o.Attempt == attempt {
@@ -58,7 +58,7 @@
 
 // Guards against starting a task twice after a change of holder. The first attempt of a task
 // had ended and a second one ran on the same machine. The first message that the new holder
-// accepted from it was a late copy of a report that showed the first attempt; the answer to
+// accepted from it was a late copy of a report that showed the first attempt; the response to
 // the holder's query then showed the second. When the first attempt was released, the task
 // counted as waiting although the second one ran, and was started on another machine
 // (docs/incidents/two-nodes.md).
@@ -69,8 +69,8 @@
 	if n := countKills(h, first, 51); n != 0 {
 		t.Fatal("the only known attempt 51 of req-1/0 was told to stop")
 	}
-	h.applyMessage(first, machineReport("n-1", 40, 7, runningTask("req-1/0", 385)), origin{fromAnswer, 0})
-	h.applyMessage(second, machineReport("n-2", 9, 7), origin{fromAnswer, 0})
+	h.applyMessage(first, machineReport("n-1", 40, 7, runningTask("req-1/0", 385)), origin{fromResponse, 0})
+	h.applyMessage(second, machineReport("n-2", 9, 7), origin{fromResponse, 0})
 	h.checkRecovered()
 	if h.state != placing {
 		t.Fatal("every machine has answered, but the holder is not placing")
@@ -123,13 +123,13 @@
 	}
 	applyReport(h, first, 2, exitedTask("req-1/0", 5, api.CauseHalted))
 	if j.waitingTasks() != 1 {
-		t.Fatal("both attempts are gone, but the task is not waiting")
+		t.Fatal("both attempts are off their machines, but the task is not waiting")
 	}
 	checkBookings(t, h)
 }
 
-// While a holder recovers, one of two attempts that it was shown may already be gone: it stops
-// neither, and the one that is proven goes on.
+// While a holder recovers, one of two attempts that it was shown may already be off its
+// machine: it stops neither, and the one that is proven goes on.
 func TestNoAttemptIsStoppedWhileRecovering(t *testing.T) {
 	h, j, first, second := twoMachineHolder(api.FormArray, 1)
 	h.applyMessage(second, machineReport("n-2", 1, 4, runningTask("req-1/0", 6)), origin{fromReport, 0})
@@ -174,7 +174,7 @@
 }
 
 // One attempt has completed the task while another runs: the task is done, the other attempt
-// is stopped and counts against its team's limit until it is gone.
+// is stopped and counts against its team's quota until it is off the machine.
 func TestDoneWhileAnotherAttemptRuns(t *testing.T) {
 	for _, doneFirst := range []bool{true, false} {
 		h, j, first, second := twoMachineHolder(api.FormArray, 2)
@@ -222,7 +222,7 @@
 	h, j, first, _ := twoMachineHolder(api.FormArray, 1)
 	newer := machineReport("n-1", 3, 7)
 	newer.Session = 2
-	h.applyMessage(first, newer, origin{fromAnswer, 0})
+	h.applyMessage(first, newer, origin{fromResponse, 0})
 	if h.applyMessage(first, machineReport("n-1", 90, 4, runningTask("req-1/0", 5)), origin{fromReport, 0}) || j.waitingTasks() != 1 {
 		t.Fatal("an attempt of an earlier session was booked on the machine")
 	}
@@ -273,7 +273,7 @@
 	}
 	applyReport(h, second, 2)
 	if j.broken || j.waitingTasks() != 2 || len(h.candidates(h.Loop.Now())) != 1 {
-		t.Fatalf("all members are gone: gang broken: %v, %d tasks waiting, want false, 2", j.broken, j.waitingTasks())
+		t.Fatalf("all members are off their machines: gang broken: %v, %d tasks waiting, want false, 2", j.broken, j.waitingTasks())
 	}
 }
 
@@ -303,7 +303,7 @@
 	h.Mirror.Blocks[0] = state.Versioned[*state.Block]{Record: &state.Block{Teams: []string{"red"}}}
 	delete(h.jobs, j.id)
 	h.applyMessage(first, machineReport("n-1", 1, 4, runningTask("req-1/0", 5)), origin{fromReport, 0})
-	h.applyMessage(second, machineReport("n-2", 1, 7, runningTask("req-1/0", 6)), origin{fromAnswer, 0})
+	h.applyMessage(second, machineReport("n-2", 1, 7, runningTask("req-1/0", 6)), origin{fromResponse, 0})
 	h.syncJob(j.id)
 	j = h.jobs[j.id]
 	checkBookings(t, h)
--- a/internal/block/candidates.go
+++ b/internal/block/candidates.go
@@ -12,8 +12,8 @@
 )
 
 // deferArrays chooses, for each team, the arrays to defer if not all of its arrays can be
-// complete in time. A team can use what its arrays hold plus what is free, or its guarantee if
-// that is more, up to its limit less what its gangs hold.
+// complete in time. A team can use what its arrays have booked plus what is free, or its
+// guarantee if that is more, up to its quota less what its gangs have booked.
 func (h *Holder) deferArrays(jobs []*placement.Job, machines []*placement.Machine, teams map[string]*placement.Team) {
 	free := 0.0
 	for _, m := range machines {
@@ -69,7 +69,7 @@
 	guarantees := capacity.NewGuarantees(h.Config.Teams)
 	zones := h.bookedZones()
 	wall := h.Loop.WallNow()
-	for _, j := range h.unblockedJobs() {
+	for _, j := range h.readyJobs() {
 		guaranteed := guarantees.AddJob(j.spec.Team, j.resources.CPUs*float64(j.spec.Tasks-j.done.Len()))
 		j.updateWait(now, time.Duration(wall-j.readyAt)*time.Millisecond)
 		if j.backoffUntil > now {
@@ -88,8 +88,8 @@
 	return out
 }
 
-// unblockedJobs returns the jobs that do not wait for a dependency, oldest first.
-func (h *Holder) unblockedJobs() (ready []*job) {
+// readyJobs returns the jobs that do not wait for a dependency, the oldest first.
+func (h *Holder) readyJobs() (ready []*job) {
 	for _, j := range h.jobs {
 		if !j.blocked {
 			ready = append(ready, j)
@@ -107,8 +107,8 @@
 	if capacity.MissesObjectives(h.Config.Objectives, j.spec, j.submittedAt, j.readyAt, wall) {
 		p.MissedDueTimes = len(h.Config.Objectives)
 	}
-	p.TimeSensitive = guaranteed || j.dueBy > 0 || capacity.TimeSensitive(h.Config.Objectives, j.spec)
-	p.Timing = placement.Timing{Due: capacity.DueTimes(h.Config.Objectives, j.spec, j.submittedAt, j.readyAt, j.dueBy), Work: j.remainingWork()}
+	p.TimeSensitive = guaranteed || j.neededBy > 0 || capacity.TimeSensitive(h.Config.Objectives, j.spec)
+	p.Timing = placement.Timing{Due: capacity.DueTimes(h.Config.Objectives, j.spec, j.submittedAt, j.readyAt, j.neededBy), Work: j.remainingWork()}
 	p.Starvation = j.starvation(now)
 	p.Failing = j.failing()
 	if p.Overdue = capacity.Overdue(j.readyAt, wall, j.hasStarted()); p.Overdue {
--- a/internal/block/completions.go
+++ b/internal/block/completions.go
@@ -25,7 +25,7 @@
 )
 
 // writeCompletions adds the completed tasks to a transaction: one completion batch for the
-// tasks, and the final phase of jobs that are complete.
+// tasks, and the final phase of jobs whose tasks are all done.
 func (h *Holder) writeCompletions(t *api.Txn) {
 	changesLeft := h.maxChanges() - len(t.Then)
 	size := 0
@@ -80,7 +80,7 @@
 	return len(raw) + len(id) + entryOverhead
 }
 
-// prune removes completion batches that only concern jobs that are over, and merges many small
+// prune removes completion batches that only concern finished jobs, and merges many small
 // ones into one.
 func (h *Holder) prune(t *api.Txn, changesLeft int) {
 	batches := h.Mirror.CompletionBatches[h.number]
@@ -116,7 +116,7 @@
 	}
 }
 
-// unfinishedEntries returns the entries of a completion batch whose jobs are not over.
+// unfinishedEntries returns the entries of a completion batch whose jobs are not finished.
 func (h *Holder) unfinishedEntries(batch *state.CompletionBatch) map[core.JobID]core.IndexSet {
 	unfinished := map[core.JobID]core.IndexSet{}
 	for id, tasks := range batch.Done {
--- a/internal/block/history_test.go
+++ b/internal/block/history_test.go
@@ -96,7 +96,7 @@
 	return machineReport(machine, x.sequences[machine], term, statuses...)
 }
 
-// messages returns some of the reports, and the answer of each machine to a query of the
+// messages returns some of the reports, and the response of each machine to a query of the
 // holder of term 7, in random order.
 func (x *history) messages() (out []*api.Report) {
 	for _, r := range x.reports {
@@ -126,7 +126,7 @@
 		h, j := recoveringHolder(api.Job{ID: "req-1", Form: form, Team: "red", Tasks: tasks, CPUs: 1, MemoryGB: 1, EstimateS: 60}, machines)
 		for _, r := range x.messages() {
 			m := h.machines[core.MachineID(r.Machine)]
-			from := fromAnswer
+			from := fromResponse
 			if r.Term < 7 {
 				from = fromReport
 			}
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -71,9 +71,9 @@
 
 const (
 	timingMargin          = 500 * time.Millisecond // added to bounds on lease expiry and message delivery
-	answerTimeout         = 4 * time.Second        // a worker drops an answer that arrives later than this after it sent the report
+	responseTimeout       = 4 * time.Second        // a worker drops a response that arrives later than this after it sent the report
 	minReportInterval     = 500 * time.Millisecond // least time between two reports of a worker
-	maxStartsPerAnswer    = 150                    // start commands in one answer
+	maxStartsPerResponse  = 150                    // start commands in one response
 	minPassInterval       = 150 * time.Millisecond // least time between two passes
 	writeInterval         = 250 * time.Millisecond // the next write follows half of this after one was confirmed
 	maxCompletionBatches  = 24                     // from this many on, batches with entries of unfinished jobs are merged too
@@ -82,12 +82,12 @@
 	excludeFor            = 60 * time.Second       // how long a job is not tried on a machine on which it failed
 	failuresBeforeBackoff = 8                      // consecutive failures of a job that has completed tasks
 	reevaluateInterval    = 5 * time.Second        // between passes without any change
-	minIdleToRelease      = 2 * time.Second        // idle time before a machine may leave the block
+	minIdleToLeave        = 2 * time.Second        // idle time before a machine may leave the block
 	// maxInheritedWait bounds the waiting time credited to a job for the time before this
 	// holder had the block. It is chosen so that such a job starts within the 90 s that users
 	// measure.
 	maxInheritedWait = 60 * time.Second
-	queryBackoff     = 100 * time.Millisecond // backoff after a query without answer, doubled each time
+	queryBackoff     = 100 * time.Millisecond // backoff after a query without response, doubled each time
 	maxQueryBackoff  = 3 * time.Second        // bound of that backoff
 )
 
@@ -99,7 +99,7 @@
 		machines: map[core.MachineID]*machine{}, jobs: map[core.JobID]*job{},
 	}
 	h.Log = env.Log.With("block", rec.Number)
-	h.Log.Info("block granted", "term", rec.Term, "machines", h.Mirror.Inventory(rec.Number).Len(), "teams", rec.Teams, "revision", h.Mirror.Revision(), "proven_ago", h.proofAge().String())
+	h.Log.Info("holder started", "term", rec.Term, "machines", h.Mirror.Inventory(rec.Number).Len(), "teams", rec.Teams, "revision", h.Mirror.Revision(), "proven_ago", h.staleness().String())
 	h.syncMachines(rec)
 	for _, id := range core.SortedKeys(h.Mirror.Jobs) {
 		h.syncJob(id)
@@ -146,14 +146,14 @@
 }
 
 // MayAnswerWorkers reports whether this holder may still answer workers: it holds the block
-// and was proven up to date recently enough.
+// and its mirror was confirmed fresh recently enough.
 func (h *Holder) MayAnswerWorkers() bool {
 	at, ok := h.Mirror.FreshAsOf()
 	return h.state != released && ok && h.Loop.Now().Sub(at) < maxContactAge(h.Config.Workers)
 }
 
 // provenHolderAt returns the last time at which the block is proven to have been held by us
-// alone; that is the time of the grant if the mirror was never proven complete.
+// alone; that is the time of the grant if the mirror was never confirmed fresh.
 func (h *Holder) provenHolderAt() core.Time {
 	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
@@ -162,8 +162,8 @@
 	return at
 }
 
-// proofAge returns how long ago the mirror was last proven complete, or -1 if it never was.
-func (h *Holder) proofAge() time.Duration {
+// staleness returns how long ago the mirror was last confirmed fresh, or -1 if it never was.
+func (h *Holder) staleness() time.Duration {
 	at, ok := h.Mirror.FreshAsOf()
 	if !ok {
 		return -1
@@ -208,7 +208,7 @@
 		}
 		if (m.state == live || m.state == silent || m.state == unsure) && provenAt > m.lastRenewal.Add(core.WithDrift(w.Lease)+timingMargin) {
 			// The worker's lease counts from the sending of the last answered report, which
-			// was before our answer, and no other holder can have answered until provenAt. Our
+			// was before our response, and no other holder can have answered until provenAt. Our
 			// own clock alone proves nothing: after a pause of the process, or without the
 			// state service, another holder may have renewed the lease, and running tasks
 			// would be taken to be off the machine.
--- a/internal/block/holder_test.go
+++ b/internal/block/holder_test.go
@@ -38,7 +38,7 @@
 }
 
 // A late copy proves nothing: it releases no booking, and does not postpone the proven expiry
-// of the machine's lease. A report that was only overtaken by an answer to a query is not a
+// of the machine's lease. A report that was only overtaken by a response to a query is not a
 // late copy.
 func TestLateCopy(t *testing.T) {
 	h, m := testHolder()
@@ -60,7 +60,7 @@
 	}
 }
 
-// A start that the machine's next report does not show means that our answers do not reach it:
+// A start that the machine's next report does not show means that our responses do not reach it:
 // it gets no work until it has answered a command.
 func TestUnreachableMachineGetsNoWork(t *testing.T) {
 	h, m := testHolder()
@@ -71,13 +71,13 @@
 	if !m.empty() || !m.unreachable || h.acceptsStarts(m) {
 		t.Fatalf("after a lost start: %d slots, unreachable: %v", len(m.slots), m.unreachable)
 	}
-	h.applyMessage(m, &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: 3, Term: 7}, origin{fromAnswer, 2})
+	h.applyMessage(m, &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: 3, Term: 7}, origin{fromResponse, 2})
 	if m.unreachable || !h.acceptsStarts(m) {
 		t.Fatal("the machine answered a command, but still counts as unreachable")
 	}
 }
 
-// unansweredLoop counts the queries that are sent; none of them gets an answer.
+// unansweredLoop counts the queries that are sent; none of them gets a response.
 type unansweredLoop struct {
 	manualLoop
 	queries int
@@ -111,7 +111,7 @@
 }
 
 func (l *commandLoop) Call(r core.Request, done func(core.Response)) {
-	d := api.CommandRequest{Term: 9} // the term in the answer to a query
+	d := api.CommandRequest{Term: 9} // the term in the response to a query
 	if r.Path == "/do" {
 		if json.Unmarshal(r.Body, &d) != nil || len(d.Commands) > 0 {
 			return
@@ -123,7 +123,7 @@
 }
 
 // A start waited up to a whole report interval for a busy machine's next report. A higher term
-// makes the worker report at once, but must not be sent while an answer under a lower term may
+// makes the worker report at once, but must not be sent while a response under a lower term may
 // still be in flight, nor more often than workers act on it.
 func TestBusyMachineIsPrompted(t *testing.T) {
 	h, m := testHolder()
@@ -139,10 +139,10 @@
 		t.Fatalf("prompted with terms %v without a reserved term, or no shortage noted", loop.terms)
 	}
 	h.reservedTerms.next, h.reservedTerms.last = 100, 200
-	m.lastAnswer = loop.now
+	m.lastResponse = loop.now
 	h.prompt(m)
 	if len(loop.terms) > 0 {
-		t.Fatal("prompted while an answer may be in flight")
+		t.Fatal("prompted while a response may be in flight")
 	}
 	for range 100 { // ten seconds
 		loop.now = loop.now.Add(100 * time.Millisecond)
@@ -259,7 +259,7 @@
 	}
 }
 
-// emptyStateLoop simulates a state service without keys that proves freshness at once.
+// emptyStateLoop simulates a state service without keys that confirms freshness at once.
 type emptyStateLoop struct{ manualLoop }
 
 func (l *emptyStateLoop) Call(r core.Request, done func(core.Response)) {
@@ -270,8 +270,8 @@
 	done(core.Response{Status: 200, Body: []byte(body)})
 }
 
-// provenHolder returns a holder whose mirror has just been proven complete.
-func provenHolder(t *testing.T) (*Holder, *machine, *emptyStateLoop) {
+// confirmedHolder returns a holder whose mirror has just been confirmed fresh.
+func confirmedHolder(t *testing.T) (*Holder, *machine, *emptyStateLoop) {
 	t.Helper()
 	h, m := testHolder()
 	loop := &emptyStateLoop{}
@@ -280,32 +280,32 @@
 	h.Mirror.Start()
 	h.Mirror.ConfirmFresh(func(bool) {})
 	if !h.MayAnswerWorkers() {
-		t.Fatal("the holder may not answer workers right after a proof")
+		t.Fatal("the holder may not answer workers right after its mirror was confirmed fresh")
 	}
 	return h, m, loop
 }
 
-// A held report must not be answered after the proof under which it was held has expired,
-// whatever triggers the answer: it would renew the lease of tasks that may have been cancelled
-// by another controller.
+// A held report must not be answered once the last confirmation that the mirror is fresh is
+// older than maxContactAge, whatever triggers the response: it would renew the lease of tasks
+// that may have been cancelled by another controller.
 func TestHeldReportIsNotAnsweredWithoutProof(t *testing.T) {
 	for _, tc := range []struct {
 		later    time.Duration
 		answered bool
 	}{{time.Second, true}, {maxContactAge(config.WorkerTimings{Lease: 10 * time.Second, Cancel: 35 * time.Second}) + time.Millisecond, false}} {
-		h, m, loop := provenHolder(t)
+		h, m, loop := confirmedHolder(t)
 		got, ok := 0, false
 		h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Session: 1, Sequence: 1, Term: 7}, func(_ api.ReportResponse, yes bool) {
 			got++
 			ok = yes
 		})
 		if got != 0 {
-			t.Fatal("a report without commands to answer was not held back")
+			t.Fatal("the response to a report was not held back although there were no commands")
 		}
 		loop.now = loop.now.Add(tc.later)
 		h.answerHeldReport(m)
 		if got != 1 || ok != tc.answered {
-			t.Errorf("after %s: %d answers, want 1; lease renewed: %v", tc.later, got, ok)
+			t.Errorf("after %s: %d responses, want 1; lease renewed: %v", tc.later, got, ok)
 		}
 		h.HandleReport(&api.Report{Machine: "n-1", Addr: "x:1", Type: "t", Session: 1, Sequence: 2, Term: 7}, func(_ api.ReportResponse, yes bool) { ok = yes })
 		h.answerHeldReport(m)
@@ -315,10 +315,10 @@
 	}
 }
 
-// A late copy of a report gets no answer, so that it does not count as a renewal of the
+// A late copy of a report gets no response, so that it does not count as a renewal of the
 // machine's lease.
 func TestLateCopyIsNotAnswered(t *testing.T) {
-	h, m, loop := provenHolder(t)
+	h, m, loop := confirmedHolder(t)
 	h.applyMessage(m, &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: 9, Term: 7}, origin{fromReport, loop.now})
 	loop.now = loop.now.Add(8 * time.Second)
 	ok := true
@@ -329,37 +329,37 @@
 }
 
 // A machine whose reports do not arrive still answers commands. That alone must not make it
-// reachable: starts are sent in answers to reports.
+// reachable: starts are sent in responses to reports.
 func TestMachineWithoutReportsStaysUnreachable(t *testing.T) {
 	h, m := testHolder()
 	loop := h.Loop.(*manualLoop)
 	m.lastReport, m.unreachable = loop.now.Add(time.Second), true
 	loop.now = loop.now.Add(20 * time.Second)
-	answer := func(sequence uint64) *api.Report {
+	response := func(sequence uint64) *api.Report {
 		return &api.Report{Machine: "n-1", Addr: "x:1", Session: 1, Sequence: sequence, Term: 7}
 	}
-	h.applyMessage(m, answer(1), origin{fromAnswer, loop.now})
+	h.applyMessage(m, response(1), origin{fromResponse, loop.now})
 	if !m.unreachable || h.acceptsStarts(m) {
 		t.Fatal("the machine counts as reachable without a report")
 	}
 	m.lastReport = loop.now
-	h.applyMessage(m, answer(2), origin{fromReport, loop.now})
-	h.applyMessage(m, answer(3), origin{fromAnswer, loop.now})
+	h.applyMessage(m, response(2), origin{fromReport, loop.now})
+	h.applyMessage(m, response(3), origin{fromResponse, loop.now})
 	if m.unreachable || !h.acceptsStarts(m) {
 		t.Fatal("the machine reports and answers, but still counts as unreachable")
 	}
 }
 
-// An idle machine stays in the block for a job that waits for it, unless the limit of the
-// job's team is reached: such machines stayed idle while other blocks had work.
+// An idle machine stays in the block for a job that waits for it, unless the quota of the
+// job's team is used up: such machines stayed idle while other blocks had work.
 func TestMachineIsNotHeldForATeamAtItsQuota(t *testing.T) {
 	h, m := testHolder()
 	h.Config.Operator.IdleTimeout = 20 * time.Second
 	m.total, m.idleSince = placement.Resources{CPUs: 8, MemoryGB: 8}, 1
 	now := core.Time(5 * time.Second)
 	h.jobs["req-1"] = &job{id: "req-1", spec: &api.Job{Form: api.FormArray, Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1}, resources: placement.Resources{CPUs: 1, MemoryGB: 1}}
-	if h.releasable(m, now) {
-		t.Error("machine releasable before the first pass although a job is waiting")
+	if h.shouldLeave(m, now) {
+		t.Error("machine should leave the block before the first pass although a job is waiting")
 	}
 	for _, tc := range []struct {
 		form     string
@@ -368,8 +368,8 @@
 	}{{api.FormArray, 0, false}, {api.FormArray, 99, false}, {api.FormArray, 99.5, true}, {api.FormGang, 97, false}, {api.FormGang, 98, true}} {
 		h.jobs["req-1"] = &job{id: "req-1", spec: &api.Job{Form: tc.form, Team: "red", Tasks: 3, CPUs: 1, MemoryGB: 1}, resources: placement.Resources{CPUs: 1, MemoryGB: 1}}
 		h.teams = map[string]*placement.Team{"red": {Used: placement.Resources{CPUs: tc.used}, Quota: placement.Resources{CPUs: 100}}}
-		if got := h.releasable(m, now); got != tc.released {
-			t.Errorf("%s, %v of 100 CPUs used: releasable %v", tc.form, tc.used, got)
+		if got := h.shouldLeave(m, now); got != tc.released {
+			t.Errorf("%s, %v of 100 CPUs used: should leave the block: %v", tc.form, tc.used, got)
 		}
 	}
 }
--- a/internal/block/job.go
+++ b/internal/block/job.go
@@ -15,7 +15,7 @@
 	readyAt     core.WallTime // since when it may run
 	submittedAt core.WallTime // when it was submitted
 	blocked     bool          // a job that it depends on is not done yet
-	dueBy       core.WallTime // time by which dependent jobs need it to be done; 0: none
+	neededBy    core.WallTime // time by which dependent jobs need it to be done; 0: none
 	spec        *api.Job
 	rank        int                 // highest of its own rank and those of jobs that depend on it
 	reported    bool                // one of its tasks has been reported by a machine
@@ -111,7 +111,7 @@
 
 // hasStarted reports whether a task of the job has been on a machine. Planned starts do not
 // count: a job whose only planned start had been dropped was taken to have started, and waited
-// for ever.
+// forever.
 func (j *job) hasStarted() bool { return j.reported || !j.done.Empty() }
 
 // remainingWork estimates the work left in CPU seconds; booked tasks count half.
--- a/internal/block/machine.go
+++ b/internal/block/machine.go
@@ -37,10 +37,10 @@
 	draining        bool                // the leader wants it back for another block
 	returnRequested bool                // to be returned to the cloud
 	term            core.Term           // under which it was assigned to the block, or a higher one shown since by prompt
-	// releaseVersion is the version of the machine's inventory part on which a write that
+	// poolMoveVersion is the version of the machine's inventory part on which a write that
 	// moves the machine to the pool was based. Until that part changes the write may still
 	// take effect, so nothing may be planned on the machine.
-	releaseVersion core.Revision
+	poolMoveVersion core.Revision
 	// clearInUseVersion is the same for a write that marks the machine as unused.
 	clearInUseVersion core.Revision
 
@@ -49,16 +49,16 @@
 	ignoredThrough  core.Session  // messages of this and earlier sessions are ignored; highest value: the machine was returned
 	fenced          bool          // accounted for: commands of earlier holders can no longer take effect on it
 	termUnseenSince core.Time     // since when it has been answered without its reports carrying our term; 0: they do
-	unreachable     bool          // it reports, but our answers do not reach it
+	unreachable     bool          // it reports, but our responses do not reach it
 	// unreachableSince is when unreachable last changed.
 	unreachableSince core.Time
 	queryInFlight    bool            // at most one query or prompt at a time
-	failedQueries    int             // consecutive queries without answer
+	failedQueries    int             // consecutive queries without response
 	nextQuery        core.Time       // no query before this time
 	joinedAt         core.Time       // when it was added to the block
 	lastMessage      core.Time       // when its last accepted message arrived
 	lastReport       core.Time       // when its last report arrived
-	lastAnswer       core.Time       // when a report of it was last answered
+	lastResponse     core.Time       // when a report of it was last answered
 	lastPrompt       core.Time       // when it was last shown a higher term to make it report
 	lastRenewal      core.Time       // last time at which a holder may have renewed its lease
 	reclaimAt        core.Time       // when the cloud takes it back; 0: no notice
@@ -69,11 +69,11 @@
 	recentImages     []string        // the same names, oldest first
 	slots            map[slotKey]*slot
 	sortedSlots      []*slot     // cache of orderedSlots, nil after a slot was added or removed
-	heldReport       *heldReport // report whose answer is held back
+	heldReport       *heldReport // report whose response is held back
 	freeWindow       freeWindow
 }
 
-// heldReport is a report whose answer is held back for a moment, so that a worker with nothing
+// heldReport is a report whose response is held back for a moment, so that a worker with nothing
 // to do learns of a start at once instead of with its next report.
 type heldReport struct {
 	done func(api.ReportResponse, bool)
--- a/internal/block/pass.go
+++ b/internal/block/pass.go
@@ -40,7 +40,7 @@
 // usable reports whether tasks can be planned on a machine.
 func (h *Holder) usable(m *machine) bool {
 	return m.state == live && m.fenced && !m.unreachable && m.reclaimAt == 0 && !m.returnRequested && m.total.CPUs > 0 &&
-		!h.writePending(m, m.clearInUseVersion) && !h.writePending(m, m.releaseVersion)
+		!h.writePending(m, m.clearInUseVersion) && !h.writePending(m, m.poolMoveVersion)
 }
 
 // runPass runs the placement and books the starts that it decided on.
@@ -139,7 +139,7 @@
 	return now.Add(max(overrun/2, time.Second))
 }
 
-// plan books the next waiting task of a job on a machine; the start is sent in the answer to
+// plan books the next waiting task of a job on a machine; the start is sent in the response to
 // the machine's next report.
 func (h *Holder) plan(j *job, m *machine) {
 	i, ok := j.nextWaiting()
--- a/internal/block/preempt.go
+++ b/internal/block/preempt.go
@@ -38,7 +38,7 @@
 }
 
 // preempt makes room for waiting work by stopping checkpointing tasks of lower ranks. Without
-// it, best-effort work kept the machines that it had found free for minutes, and jobs that
+// it, opportunistic work kept the machines that it had found free for minutes, and jobs that
 // arrived then started late. jobs are those that still wait after the pass, in its order;
 // machines show what is free after it.
 func (h *Holder) preempt(now core.Time, jobs []*placement.Job, machines []*placement.Machine, teams map[string]*placement.Team) {
@@ -89,7 +89,7 @@
 }
 
 // freeAfterStops returns what is free on a machine, counting the attempts that are told to
-// stop as gone.
+// stop as off the machine.
 func (p *preemption) freeAfterStops(m *placement.Machine) placement.Resources {
 	free := m.Free()
 	for _, s := range p.h.machines[m.ID].slots {
@@ -126,7 +126,7 @@
 	maps.Copy(p.free, left)
 	for _, e := range evictions {
 		for _, s := range e.stops {
-			p.h.Log.Info("preempting task for work of a higher rank", "task", s.task.String(), "attempt", s.attempt, "machine", e.machine, "for", j.ID)
+			p.h.Log.Info("task selected for preemption by work of a higher rank", "task", s.task.String(), "attempt", s.attempt, "machine", e.machine, "for", j.ID)
 			p.h.requestStop(s, stopPreempted)
 			p.stops++
 		}
@@ -187,16 +187,17 @@
 	return n
 }
 
-// drain stops checkpointing best-effort tasks that are not time-sensitive on a draining
-// machine. Without this, the machine left the block only when the last of them had ended.
+// drain stops, on a draining machine, checkpointing tasks of jobs of the lowest rank that have
+// neither a deadline nor an objective for their class. Without this, the machine left the
+// block only when the last of them had ended.
 func (h *Holder) drain(m *machine, now core.Time) {
 	if !m.draining || h.state != placing {
 		return
 	}
 	for _, s := range m.orderedSlots() {
 		if j := h.jobs[s.task.Job]; h.preemptible(s, placement.Rank(api.RankStandard), now) && !capacity.TimeSensitive(h.Config.Objectives, j.spec) {
-			h.Log.Info("stopping task on a draining machine", "task", s.task.String(), "attempt", s.attempt, "machine", m.id)
-			h.requestStop(s, stopMachineRecalled)
+			h.Log.Info("task selected to stop on a draining machine", "task", s.task.String(), "attempt", s.attempt, "machine", m.id)
+			h.requestStop(s, stopMachineDraining)
 		}
 	}
 }
--- a/internal/block/prompt.go
+++ b/internal/block/prompt.go
@@ -8,23 +8,23 @@
 	"lichenstair/internal/state"
 )
 
-// A start is sent only in the answer to a report, and the next report of a busy machine may be
+// A start is sent only in the response to a report, and the next report of a busy machine may be
 // seconds away. A worker that sees a higher term reports at once, so a machine with a planned
 // start is shown a higher term, without commands. These terms come from the single term
 // counter and are allocated under the block's key: they are lower than the term of any later
 // grant, and nobody else has them.
 
 const (
-	termBatch          = 500             // terms reserved in one allocation
+	termBatch          = 500             // terms in one allocation
 	allocationInterval = 2 * time.Second // least time between two allocations
-	// answerTransit is how long an answer may be in flight. If a higher term overtakes it, the
-	// worker drops the answer with its starts.
-	answerTransit = 500 * time.Millisecond
+	// responseTransit is how long a response may be in flight. If a higher term overtakes it,
+	// the worker drops the response with its starts.
+	responseTransit = 500 * time.Millisecond
 	// minPromptGain is how far away the next report must be for a prompt to be worthwhile.
 	minPromptGain = 600 * time.Millisecond
 )
 
-// allocateTerms reserves more terms if a machine needs a higher one than are left.
+// allocateTerms allocates more terms in advance if a machine needs a higher one than are left.
 func (h *Holder) allocateTerms() {
 	if h.allocatingTerms || !h.reservedTerms.exhausted {
 		return
@@ -55,7 +55,7 @@
 func (h *Holder) prompt(m *machine) {
 	now := h.Loop.Now()
 	w := h.Config.Workers
-	if m.heldReport != nil || m.queryInFlight || m.addr == "" || m.session == 0 || now.Sub(m.lastPrompt) < w.Lease/2 || now.Sub(m.lastAnswer) < answerTransit ||
+	if m.heldReport != nil || m.queryInFlight || m.addr == "" || m.session == 0 || now.Sub(m.lastPrompt) < w.Lease/2 || now.Sub(m.lastResponse) < responseTransit ||
 		m.lastReport.Add(w.Report*3/4).Sub(now) < minPromptGain || !h.hasSendableStart(m) {
 		return
 	}
@@ -69,7 +69,7 @@
 	h.Workers.Fence(m.addr, m.term, m.session, func(rep *api.Report) {
 		m.queryInFlight = false
 		if rep != nil && h.state != released && h.machines[m.id] == m && core.MachineID(rep.Machine) == m.id {
-			h.applyMessage(m, rep, origin{fromAnswer, now})
+			h.applyMessage(m, rep, origin{fromResponse, now})
 		}
 	})
 }
--- a/internal/block/reasons.go
+++ b/internal/block/reasons.go
@@ -11,17 +11,17 @@
 type source string
 
 const (
-	// fromReport is a report that the worker sent by itself, whether or not its answer is held
-	// back.
+	// fromReport is a report that the worker sent by itself, whether or not its response is
+	// held back.
 	fromReport source = "report"
-	// fromAnswer is a worker's answer to a query or to a direct command.
-	fromAnswer source = "answer"
+	// fromResponse is a worker's response to a query or to a direct command.
+	fromResponse source = "answer"
 )
 
 // origin tells where a message came from and how old its content can be at most.
 type origin struct {
 	source source
-	// asOf is when the message was requested (answer) or received (report).
+	// asOf is when the message was requested (response) or received (report).
 	asOf core.Time
 }
 
@@ -42,7 +42,7 @@
 
 const (
 	stopUnknownJob  stopReason = "job unknown"
-	stopJobOver     stopReason = "job over"
+	stopJobFinished stopReason = "job over"
 	stopCancelled   stopReason = "job cancelled"
 	stopOtherBlock  stopReason = "job of another block"
 	stopUnknownTask stopReason = "task unknown"
@@ -52,7 +52,7 @@
 	stopSuperseded       stopReason = "superseded"
 	stopGangBroken       stopReason = "gang not whole"
 	stopPreempted        stopReason = "work of a higher rank"
-	stopMachineRecalled  stopReason = "machine asked back"
+	stopMachineDraining  stopReason = "machine asked back"
 	stopMachineReclaimed stopReason = "machine taken by the cloud"
 )
 
@@ -97,18 +97,20 @@
 	h.Log.Info("task has two attempts", append(attributes, "other_attempt", others[0].attempt, "other_machine", others[0].machine.id, "other_state", others[0].state.String())...)
 }
 
-// noteStop counts and logs that an attempt is told to stop.
+// noteStop counts and logs the first stop command for an attempt, when it is added to a response
+// to the machine.
 func (h *Holder) noteStop(s *slot, reason stopReason) {
 	h.Metrics.Stops.WithLabelValues(string(reason)).Inc()
 	level := slog.LevelDebug
 	if reason == stopSuperseded || reason == stopGangBroken {
 		level = slog.LevelInfo
 	}
-	h.Log.Log(context.Background(), level, "stop command sent", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "reason", reason, "grace_s", s.graceS)
+	h.Log.Log(context.Background(), level, "stop command added to response", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "reason", reason, "grace_s", s.graceS)
 }
 
-// noteStart counts and logs a start, with the state on which the decision was based.
+// noteStart counts and logs a start command that is added to a response to the machine, with the
+// state on which the decision was based.
 func (h *Holder) noteStart(s *slot) {
 	h.Metrics.Starts.Inc()
-	h.Log.Debug("start command sent", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "term", h.commandTerm(s.machine), "session", s.sentSession, "sequence", s.sentSequence, "revision", h.Mirror.Revision())
+	h.Log.Debug("start command added to response", "task", s.task.String(), "attempt", s.attempt, "machine", s.machine.id, "term", h.commandTerm(s.machine), "session", s.sentSession, "sequence", s.sentSequence, "revision", h.Mirror.Revision())
 }
--- a/internal/block/recovery.go
+++ b/internal/block/recovery.go
@@ -5,8 +5,8 @@
 	"lichenstair/internal/core"
 )
 
-// fence shows our term to a machine and asks what is running on it. A machine whose session is
-// not known yet is asked first, since a term is shown to a given session.
+// fence shows our term to a machine and queries what is running on it. A machine whose session
+// is not known yet is queried first, since a term is shown to a given session.
 func (h *Holder) fence(m *machine) {
 	if m.queryInFlight || m.fenced && !m.unreachable || m.addr == "" || h.state == released {
 		return
@@ -28,7 +28,7 @@
 			return
 		}
 		m.failedQueries = 0
-		h.applyMessage(m, rep, origin{fromAnswer, askedAt})
+		h.applyMessage(m, rep, origin{fromResponse, askedAt})
 		if inspected && core.Session(rep.Session) > m.ignoredThrough && core.Term(rep.Term) < h.commandTerm(m) {
 			// A worker that sees a higher term reports at once, and so reaches this holder now
 			// instead of with its next report some seconds later.
--- a/internal/block/reports.go
+++ b/internal/block/reports.go
@@ -10,12 +10,12 @@
 )
 
 // lateCopy reports whether a report is a copy that was delivered long after it was sent. A
-// worker gives up on a report after answerTimeout, so a report that is not newer than a
+// worker gives up on a report after responseTimeout, so a report that is not newer than a
 // message received longer ago than that is a late copy. It must neither prove a machine alive
 // nor count as answered: repeated copies postponed the proven expiry of a dead machine's lease.
 func (h *Holder) lateCopy(m *machine, rep *api.Report, now core.Time) bool {
 	return m.session > 0 && !core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), m.session, m.sequence) &&
-		now > m.lastMessage.Add(core.WithDrift(answerTimeout)+timingMargin)
+		now > m.lastMessage.Add(core.WithDrift(responseTimeout)+timingMargin)
 }
 
 // expectedDuration estimates how long a task will be on a machine, fetching its image
@@ -48,9 +48,9 @@
 		h.applyNewSession(m)
 	}
 	m.session, m.sequence, m.lastMessage = session, sequence, now
-	if from.source == fromAnswer && (m.lastReport == 0 || now.Sub(m.lastReport) < h.silenceTimeout()) {
+	if from.source == fromResponse && (m.lastReport == 0 || now.Sub(m.lastReport) < h.silenceTimeout()) {
 		// The machine answered a command. A machine whose reports arrive nowhere stays
-		// unreachable: starts are sent in answers to reports, and it was planned for again and
+		// unreachable: starts are sent in responses to reports, and it was planned for again and
 		// again without a way to start anything.
 		h.setUnreachable(m, false)
 	}
@@ -74,11 +74,11 @@
 }
 
 // applyNewSession handles the start of a new worker session: the worker has killed and
-// forgotten everything of earlier sessions, and drops answers to their reports.
+// forgotten everything of earlier sessions, and drops responses to their reports.
 func (h *Holder) applyNewSession(m *machine) {
 	answered := h.Loop.Now().Sub(m.lastRenewal) < h.Config.Workers.Lease/2
 	if m.fenced && m.session > 0 && m.state == live && answered {
-		// The lease ran out although we answered the machine's reports.
+		// The lease expired although we answered the machine's reports.
 		h.setUnreachable(m, true)
 	}
 	for _, s := range m.orderedSlots() {
@@ -139,18 +139,18 @@
 }
 
 // startNotExecuted reports whether a message that does not show a start proves that the start
-// was not executed. A start sent in an answer is decided by the next report, since a worker
-// has one report in flight at a time; an answer to a direct query proves it only if it was
-// requested after the worker would have dropped our answer.
+// was not executed. A start sent in a response is decided by the next report, since a worker
+// has one report in flight at a time; a response to a direct query proves it only if it was
+// requested after the worker would have dropped our response.
 func (h *Holder) startNotExecuted(s *slot, rep *api.Report, from origin) bool {
 	if from.source == fromReport && core.Newer(core.Session(rep.Session), core.Sequence(rep.Sequence), s.sentSession, s.sentSequence) {
 		return true
 	}
-	return from.asOf > s.sentAt.Add(core.WithDrift(answerTimeout)+timingMargin)
+	return from.asOf > s.sentAt.Add(core.WithDrift(responseTimeout)+timingMargin)
 }
 
-// setUnreachable records whether our answers reach a machine. A machine that reports but does
-// not act on the answers gets no work until it has answered a command; otherwise start after
+// setUnreachable records whether our responses reach a machine. A machine that reports but does
+// not act on the responses gets no work until it has answered a command; otherwise start after
 // start was lost on it, each for the length of a lease.
 func (h *Holder) setUnreachable(m *machine, unreachable bool) {
 	if m.unreachable == unreachable {
--- a/internal/block/slot.go
+++ b/internal/block/slot.go
@@ -37,14 +37,14 @@
 	reportedState string              // state as reported by the worker
 	exitCause     string              // cause of the end as reported by the worker
 
-	sentAt core.Time // when the start command was sent
-	// sentSession and sentSequence identify the report in whose answer the start was sent.
+	sentAt core.Time // when the start command was added to a response
+	// sentSession and sentSequence identify the report in whose response the start was sent.
 	sentSession  core.Session
 	sentSequence core.Sequence
 
 	expectedEnd  core.Time  // estimated
 	stopRequest  stopReason // why it has to stop even though its job goes on
-	stopSentAt   core.Time  // when the first stop was sent; 0: none
+	stopSentAt   core.Time  // when the first stop command was added to a response; 0: none yet
 	graceS       float64    // time to save, in seconds
 	runningSince core.Time  // when it was first seen running
 }
--- a/internal/block/sync.go
+++ b/internal/block/sync.go
@@ -54,7 +54,7 @@
 	}
 	for p := range h.Mirror.Inventory(state.PoolInventory).All() {
 		if m := h.machines[p.ID]; m != nil && p.PoolState == state.PoolGone && m.state != lapsed {
-			// The cloud has answered its return with status 200: the machine and everything on
+			// The cloud has confirmed its return with status 200: the machine and everything on
 			// it are gone.
 			h.releaseAllAttempts(m, releaseMachineReturned)
 			h.setMachineState(m, lapsed)
@@ -63,7 +63,7 @@
 	}
 }
 
-// addMachine adds a machine that has joined the block, and asks it what is running on it.
+// addMachine adds a machine that has joined the block, and queries what is running on it.
 func (h *Holder) addMachine(r state.Machine, now core.Time) *machine {
 	m := &machine{
 		id:          r.ID,
@@ -99,7 +99,7 @@
 }
 
 // syncJob updates a job from the mirror: it adds a job of the block's teams, and removes one
-// that is over.
+// that is finished.
 func (h *Holder) syncJob(id core.JobID) {
 	e := h.Mirror.Jobs[id]
 	if e == nil {
@@ -110,7 +110,7 @@
 		if j != nil {
 			h.dropJobPlans(j)
 			delete(h.jobs, id)
-			h.Log.Info("job is over", "job", id, "phase", e.Phase)
+			h.Log.Info("job finished", "job", id, "phase", e.Phase)
 			h.dirty = true
 		}
 		return
@@ -129,7 +129,7 @@
 			h.Log.Info("all dependencies of job are done", "job", id, "waited_ms", at-j.submittedAt)
 		}
 	}
-	j.rank, j.dueBy = max(j.rank, e.Urgency.Rank), e.Urgency.Deadline
+	j.rank, j.neededBy = max(j.rank, e.Urgency.Rank), e.Urgency.Deadline
 	j.done.Union(e.Done)
 	if !j.pending.Empty() {
 		j.pending = difference(j.pending, e.Done)
@@ -186,7 +186,7 @@
 	h.answerHeldReports()
 }
 
-// dropJobPlans drops the planned starts of a job that is over.
+// dropJobPlans drops the planned starts of a job that is finished or cancelled.
 func (h *Holder) dropJobPlans(j *job) {
 	for _, s := range j.attempts.all() {
 		if s.state == planned {
--- a/internal/block/write.go
+++ b/internal/block/write.go
@@ -68,7 +68,7 @@
 func (h *Holder) writeMachines(t *api.Txn) {
 	now := h.Loop.Now()
 	blockInventory, poolInventory := h.Mirror.Inventory(h.number), h.Mirror.Inventory(state.PoolInventory)
-	edit := h.Mirror.Edit(h.Config.StateLimits, max(h.maxChanges()/2, 2), h.number+1) // 0 is the leader's lane
+	edit := h.Mirror.Edit(h.Config.StateLimits, max(h.maxChanges()/2, 2), h.number+1) // stripe 0 is the leader's
 	for record := range blockInventory.All() {
 		m := h.machines[record.ID]
 		if m == nil {
@@ -93,7 +93,7 @@
 	if h.state != placing || !m.fenced || m.returnRequested || m.unreachable || m.state != live || !h.vacant(m) {
 		return false
 	}
-	return m.releaseVersion == version || h.releasable(m, now)
+	return m.poolMoveVersion == version || h.shouldLeave(m, now)
 }
 
 // moveToPool moves a machine's record to the pool.
@@ -101,8 +101,8 @@
 	record.InUse, record.Draining, record.Expiring, record.Term = false, false, false, 0
 	record.Addr, record.LastTerm = m.addr, h.commandTerm(m)
 	if edit.Move(h.number, state.PoolInventory, record) {
-		h.Log.Info("releasing machine to the pool", "machine", m.id, "asked", m.draining)
-		m.releaseVersion = version
+		h.Log.Info("moving machine to the pool", "machine", m.id, "asked", m.draining)
+		m.poolMoveVersion = version
 	}
 }
 
@@ -137,12 +137,12 @@
 	return true
 }
 
-// releasable reports whether an empty machine should leave the block.
-func (h *Holder) releasable(m *machine, now core.Time) bool {
+// shouldLeave reports whether an empty machine should leave the block.
+func (h *Holder) shouldLeave(m *machine, now core.Time) bool {
 	if m.draining {
 		return true
 	}
-	if m.reclaimAt != 0 || m.idleSince == 0 || now.Sub(m.idleSince) < minIdleToRelease {
+	if m.reclaimAt != 0 || m.idleSince == 0 || now.Sub(m.idleSince) < minIdleToLeave {
 		return false
 	}
 	if now.Sub(m.idleSince) > h.Config.Operator.IdleTimeout {
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -40,7 +40,7 @@
 	Block    int  // NoBlock: in the pool
 	Draining bool // leaves its block once it is empty
 	Ready    bool // known to have booted
-	Idle     bool // has no tasks, as far as its block's holder knows
+	Idle     bool // nothing is booked on it, as far as its block's holder knows
 	// BootOverdue is set if the machine should have booted long ago. It claims no waiting work,
 	// which goes to others; once it has booted it is planned on again.
 	BootOverdue bool
@@ -50,7 +50,7 @@
 // NoBlock is the block number of the pool.
 const NoBlock = -1
 
-// Offer is a kind of machine that can be rented in a zone.
+// Offer is a kind of machine (see MachineKind) in a zone, as the cloud rents it out.
 type Offer struct {
 	Type, Zone string
 	Spot       bool
--- a/internal/capacity/capacity_test.go
+++ b/internal/capacity/capacity_test.go
@@ -30,7 +30,7 @@
 }
 
 // A gang whose tasks must be spread over zones needs machines in two zones. When machines were
-// rented in one zone only, the gang waited for ever.
+// rented in one zone only, the gang waited forever.
 func TestSpreadGangRentsInTwoZones(t *testing.T) {
 	j := gangOf("req-1", 3, 8)
 	j.SpreadZones = true
@@ -140,9 +140,9 @@
 	if rented < 64 {
 		t.Fatalf("%v CPUs are rented for 80 tasks, with 16 CPUs available; want at least 64", rented)
 	}
-	// Opportunistic work gets no on-demand machines, however much of it there is, except for a few
-	// where it has no machine at all. A borrowing team's 2,600 CPUs of such work took 60 CPUs of
-	// them at three times the price (docs/incidents/inc-b616.md).
+	// Work that is not time-sensitive gets no on-demand machines, however much of it there is,
+	// except for a few where it has no machine at all. A borrowing team's 2,600 CPUs of such work
+	// took 60 CPUs of them at three times the price (docs/incidents/inc-b616.md).
 	j.TimeSensitive, j.Remaining, j.Tasks = false, 90, 90
 	if p := MakePlan(in); len(p.Rent) != 0 || p.Demand.SpotCPUs != 0 {
 		t.Fatalf("%+v", p)
--- a/internal/capacity/objectives.go
+++ b/internal/capacity/objectives.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// maxDeferral bounds the age up to which a job is deferred for being late: no work may wait for
-	// ever because it could not be in time.
+	// maxDeferral bounds the age up to which a job is deferred for being late: no work may wait
+	// forever because it could not be in time.
 	maxDeferral = 15 * time.Minute
 	// maxStartWait is how long a job may wait without a started task before it is scheduled first:
 	// no user's job should seem forgotten because others are more urgent. Users expect the start
@@ -32,7 +32,7 @@
 	starvingAfter = 45 * time.Second
 	// starvedAfter is how long it may wait before one of its tasks may use any room. Users take it
 	// as a fault if a job waits for 90 s beside a machine with room; the remaining time is for a new
-	// holder of the block to find its machines.
+	// holder of the block to recover.
 	starvedAfter = 70 * time.Second
 )
 
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -110,9 +110,9 @@
 // are rented without limit for work that may use spot machines.
 const scarcityFactor = 3
 
-// opportunisticShare limits the on-demand machines for work that is not time-sensitive: they may be
-// rented for one in opportunisticShare of its tasks.
-const opportunisticShare = 8
+// timeInsensitiveShare limits the on-demand machines for work that is not time-sensitive, whatever
+// its rank: they may be rented for one in timeInsensitiveShare of its tasks.
+const timeInsensitiveShare = 8
 
 // onDemandBudget returns how many CPUs of on-demand machines may be rented for a job. For work that
 // may use spot machines they cost about three times as much, and the tasks that wait for them are
@@ -133,7 +133,7 @@
 	if !j.TimeSensitive {
 		// No user waits for the job: it uses idle and cheap machines. Only where these have next to
 		// no CPUs it gets a few on-demand machines, so that it is served at all.
-		return float64(j.Remaining)*j.Need.CPUs/opportunisticShare - available - p.onDemandCPUs
+		return float64(j.Remaining)*j.Need.CPUs/timeInsensitiveShare - available - p.onDemandCPUs
 	}
 	if p.plan.Demand.SpotCPUs > scarcityFactor*available {
 		return math.Inf(1)
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -11,8 +11,9 @@
 )
 
 type (
-	// Term is the number of one grant, of the leadership or of a block. It increases and is
-	// never reused.
+	// Term numbers the grants of the leadership and of blocks. Higher terms are also allocated
+	// between grants, to assign machines to a block or to make a machine report at once. All
+	// come from one counter, and none is allocated twice.
 	Term uint64
 	// Session numbers the sessions of a worker. A worker whose lease has expired ends its
 	// tasks and starts a session with a higher number.
--- a/internal/leader/blocks.go
+++ b/internal/leader/blocks.go
@@ -11,7 +11,7 @@
 )
 
 // setUpBlocks creates the blocks, assigns teams without a block to one, and records the
-// resource limits of the teams.
+// quotas of the teams.
 func (l *Leader) setUpBlocks(t *api.Txn) {
 	drafts := &blockDrafts{mirror: l.Mirror, changed: map[int]*state.Block{}}
 	if len(l.Mirror.Blocks) == 0 && !l.createBlocks(t, drafts) {
@@ -111,7 +111,7 @@
 	}
 }
 
-// draftLimits drafts the resource limits of the teams of a block where they have changed.
+// draftLimits drafts the recorded quotas of the teams of a block where they have changed.
 func (d *blockDrafts) draftLimits(n int, teams []config.Team) {
 	for _, team := range teams {
 		limit := state.Limit{CPUs: team.CPUsMax, GPUs: team.GPUsMax}
--- a/internal/leader/cloud.go
+++ b/internal/leader/cloud.go
@@ -13,7 +13,7 @@
 )
 
 // queueMarkedReturns queues the machines whose return to the cloud is recorded durably: those
-// of the pool that are marked for it, and those that a holder has given up.
+// of the pool that are marked for it, and those whose return a holder has requested.
 func (l *Leader) queueMarkedReturns() {
 	pool := l.Mirror.Inventory(state.PoolInventory)
 	for m := range pool.All() {
@@ -72,7 +72,7 @@
 }
 
 // requestRentals requests the rentals of a plan, in at most three requests for at most 50
-// machines each. No more are requested until these have been answered and the mirror shows
+// machines each. No more are requested until the cloud has responded to these and the mirror shows
 // the rented machines.
 func (l *Leader) requestRentals(planned []capacity.Rental) {
 	// Renting is the only request to the cloud that requires us to be the leader at this
--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -117,8 +117,8 @@
 	}
 	for _, n := range numbers {
 		b := l.Mirror.Blocks[n].Record
-		// A block whose holder is still discovering its machines is not moved: the next
-		// holder started the discovery anew, and the leases of the workers expired.
+		// A block whose holder is still recovering is not moved: the next holder started the
+		// recovery anew, and the leases of the workers expired.
 		if loads.blocks[b.Holder] >= loads.blocks[to.Host]+2 && l.HolderReady(n) {
 			return []*state.Block{withHolder(b, to)}
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -26,13 +26,13 @@
 	State   *state.Client
 	Cloud   *cloud.Client
 	Workers *worker.Client
-	// GangKinds returns the machine kinds that are always kept for gangs.
+	// GangKinds returns the kinds of machine that are reserved for gangs even while none waits.
 	GangKinds func() capacity.GangKinds
 	// ReplacementHolder returns the controller that should take over a block whose holder
 	// does not receive reports from its machines.
 	ReplacementHolder func(block int) (core.Host, bool)
-	// HolderReady returns whether a block's holder has discovered its machines and places
-	// tasks.
+	// HolderReady returns whether a block's holder has recovered the state of its machines
+	// and places tasks.
 	HolderReady func(block int) bool
 	// FailingJobs returns the jobs that have failed on more than one machine and completed
 	// no task.
@@ -41,7 +41,7 @@
 	RunningTasks func() map[core.JobID]int
 	// LeaseValid returns whether our lease has certainly not expired.
 	LeaseValid func() bool
-	// IdleMachines returns the machines of blocks on which nothing is placed.
+	// IdleMachines returns the machines of blocks on which nothing is booked.
 	IdleMachines func() map[core.MachineID]bool
 }
 
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -24,7 +24,7 @@
 	plan := l.plan(edit, now, l.Loop.WallNow())
 	changed := map[int]bool{} // blocks whose machines are written
 	l.assign(t, edit, plan.Assign, changed)
-	l.requestRelease(edit, plan.Drain, changed)
+	l.markDraining(edit, plan.Drain, changed)
 	l.markForReturn(edit, plan.Return)
 	for _, n := range core.SortedKeys(changed) {
 		l.requireGrant(t, n)
@@ -81,8 +81,9 @@
 	}
 }
 
-// requestRelease asks holders to release machines once they are empty.
-func (l *Leader) requestRelease(edit *state.Edit, ids []core.MachineID, changed map[int]bool) {
+// markDraining marks machines as draining: their holders move them to the pool once they are
+// empty.
+func (l *Leader) markDraining(edit *state.Edit, ids []core.MachineID, changed map[int]bool) {
 	for _, id := range ids {
 		n, ok := l.Mirror.MachineBlock(id)
 		if !ok {
@@ -92,7 +93,7 @@
 		m.Draining = true
 		if edit.Set(n, m) {
 			changed[n] = true
-			l.logWhenApplied("holder asked to release machine", "machine", id, "block", n)
+			l.logWhenApplied("machine marked as draining", "machine", id, "block", n)
 		}
 	}
 }
@@ -118,8 +119,8 @@
 	wall := l.Loop.WallNow()
 	for _, id := range core.SortedKeys(l.returned) {
 		m, pooled := edit.Find(state.PoolInventory, id)
-		_, held := l.Mirror.MachineBlock(id)
-		if !pooled && !held || pooled && m.PoolState == state.PoolGone {
+		_, inBlock := l.Mirror.MachineBlock(id)
+		if !pooled && !inBlock || pooled && m.PoolState == state.PoolGone {
 			delete(l.returned, id)
 			continue
 		}
@@ -133,7 +134,7 @@
 	// How long the cloud's list may still contain a machine after its return, in ms.
 	listRetention := core.WallTime(3*l.Config.CloudLimits.ListLag.Milliseconds() + 20000)
 	for m := range l.Mirror.Inventory(state.PoolInventory).All() {
-		if _, held := l.Mirror.MachineBlock(m.ID); m.PoolState == state.PoolGone && !held && wall-m.Since > listRetention {
+		if _, inBlock := l.Mirror.MachineBlock(m.ID); m.PoolState == state.PoolGone && !inBlock && wall-m.Since > listRetention {
 			edit.Remove(state.PoolInventory, m.ID)
 		}
 	}
@@ -150,7 +151,7 @@
 			}
 			continue
 		}
-		if _, held := l.Mirror.MachineBlock(id); held || pooled || l.returned[id] || l.returnPending[id] || l.pendingRent(id) {
+		if _, inBlock := l.Mirror.MachineBlock(id); inBlock || pooled || l.returned[id] || l.returnPending[id] || l.pendingRent(id) {
 			continue
 		}
 		adopted := state.Machine{
@@ -168,8 +169,8 @@
 func (l *Leader) recordRented(edit *state.Edit) {
 	unrecorded := l.rented[:0]
 	for _, m := range l.rented {
-		_, held := l.Mirror.MachineBlock(m.ID)
-		if l.Mirror.Inventory(state.PoolInventory).VersionOf(m.ID) != 0 || held {
+		_, inBlock := l.Mirror.MachineBlock(m.ID)
+		if l.Mirror.Inventory(state.PoolInventory).VersionOf(m.ID) != 0 || inBlock {
 			continue
 		}
 		unrecorded = append(unrecorded, m)
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -118,7 +118,7 @@
 	return &capacity.Machine{ID: m.ID, Type: m.Type, Zone: m.Zone, Spot: m.Spot, Block: block, Ready: l.hasBooted(m), BootOverdue: overdue[m.ID]}
 }
 
-// unfinishedJobs describes the jobs that may run and those that are expected to soon, the
+// unfinishedJobs describes the jobs that are ready and those that are ready soon, the
 // oldest first.
 func (l *Leader) unfinishedJobs(wall core.WallTime) (jobs []*capacity.Job) {
 	failing, running := l.FailingJobs(), l.RunningTasks()
@@ -142,12 +142,12 @@
 }
 
 // markGuaranteed marks the jobs that fit into their teams' guarantees, which also makes them
-// time-sensitive: first those that may run, then those that are expected to soon.
+// time-sensitive: first those that are ready, then those that are ready soon.
 func (l *Leader) markGuaranteed(jobs []*capacity.Job) {
 	guarantees := capacity.NewGuarantees(l.Config.Teams)
-	for _, expected := range []bool{false, true} {
+	for _, readySoon := range []bool{false, true} {
 		for _, j := range jobs {
-			if j.ReadySoon != expected {
+			if j.ReadySoon != readySoon {
 				continue
 			}
 			j.Guaranteed = guarantees.AddJob(j.Team, j.Need.CPUs*float64(j.Remaining))
@@ -161,16 +161,16 @@
 func (l *Leader) describeJob(id core.JobID, e *state.JobEntry, wall core.WallTime, running map[core.JobID]int) *capacity.Job {
 	block, ok := l.Mirror.TeamBlock(e.Team)
 	at, ready := l.Mirror.ReadyAt(e)
-	expected := !ready && l.Mirror.ReadySoon(e, func(id core.JobID) bool { return running[id] > 0 })
-	if !ok || !ready && !expected {
+	readySoon := !ready && l.Mirror.ReadySoon(e, func(id core.JobID) bool { return running[id] > 0 })
+	if !ok || !ready && !readySoon {
 		return nil
 	}
-	if expected {
+	if readySoon {
 		at = wall
 	}
 	j := &capacity.Job{
 		Job: placement.NewJob(id, at, e.Spec), Block: block, Remaining: e.Tasks - e.Done.Len(), Running: running[id],
-		ReadySoon: expected, HasDependencies: len(e.Spec.Dependencies) > 0,
+		ReadySoon: readySoon, HasDependencies: len(e.Spec.Dependencies) > 0,
 	}
 	j.Overdue = capacity.Overdue(at, wall, j.Running > 0 || !e.Done.Empty())
 	j.Rank = max(j.Rank, e.Urgency.Rank)
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -22,8 +22,8 @@
 	observedAt core.Time
 }
 
-// discoveryTime is how long a new holder has to discover its machines.
-const discoveryTime = 5 * time.Second
+// recoveryTime is how long a new holder has to recover the state of its machines.
+const recoveryTime = 5 * time.Second
 
 const (
 	// misroutedTTL is how long a misrouted report counts. A worker that cannot reach its
@@ -61,7 +61,7 @@
 	return out
 }
 
-// blockHint returns the latest summary of a block from its holder; ok is false if there is
+// blockHint returns the latest hint on a block from its holder; ok is false if there is
 // no recent one.
 func (n *Node) blockHint(num int, holder core.Host) (peer.BlockHint, bool) {
 	if h := n.holders[num]; h != nil {
@@ -92,8 +92,8 @@
 
 // looksIsolated returns whether a block's holder appears not to receive reports from most
 // of the block's machines, though it may otherwise be healthy. A holder without a recent
-// summary counts as isolated if its block has machines. A grant that this node has observed
-// for less than discoveryTime does not count.
+// hint counts as isolated if its block has machines. A grant that this node has observed
+// for less than recoveryTime does not count.
 func (n *Node) looksIsolated(num int) bool {
 	b, ok := n.mirror.Blocks[num]
 	if !ok {
@@ -102,7 +102,7 @@
 	if g := n.observedGrants[num]; g.term != b.Record.Term {
 		n.observedGrants[num] = observedGrant{b.Record.Term, n.loop.Now()}
 		return false
-	} else if n.loop.Now().Sub(g.observedAt) < discoveryTime {
+	} else if n.loop.Now().Sub(g.observedAt) < recoveryTime {
 		return false
 	}
 	hint, ok := n.blockHint(num, b.Record.Holder)
@@ -123,7 +123,7 @@
 
 // replacementHolder returns the controller that should replace a block's holder: one to
 // which at least half of the machines report that the holder does not hear from, or any
-// machine if there is no recent summary from the holder.
+// machine if there is no recent hint from the holder.
 func (n *Node) replacementHolder(num int) (core.Host, bool) {
 	b, ok := n.mirror.Blocks[num]
 	if !ok || !n.looksIsolated(num) {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -84,7 +84,7 @@
 	n.sendHeartbeat()
 }
 
-// confirmFreshness confirms periodically that the mirror is up to date.
+// confirmFreshness periodically has the mirror confirmed fresh.
 func (n *Node) confirmFreshness() {
 	if n.mirror.Complete() {
 		n.mirror.ConfirmFresh(func(bool) {})
@@ -197,7 +197,7 @@
 	}
 }
 
-// gangKinds returns the machine kinds that are kept for gangs even while none is waiting.
+// gangKinds returns the kinds of machine that are reserved for gangs even while none waits.
 func (n *Node) gangKinds() capacity.GangKinds {
 	return n.gangShapes.GangKinds(n.loop.Now(), n.cfg.Objectives, n.types())
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -16,7 +16,7 @@
 	// maxStaleness is the staleness from which a node is taken not to reach the state
 	// service.
 	maxStaleness = 4 * time.Second
-	// unknownStaleness is the staleness of a mirror that has never been confirmed.
+	// unknownStaleness is the staleness of a mirror that has never been confirmed fresh.
 	unknownStaleness = time.Hour
 )
 
@@ -56,7 +56,7 @@
 	n.state.RedistributeWrites(peerRates)
 }
 
-// staleness returns the time since the mirror was last confirmed to be up to date.
+// staleness returns the time since the mirror was last confirmed fresh.
 func (n *Node) staleness() time.Duration {
 	at, ok := n.mirror.FreshAsOf()
 	if !ok {
@@ -119,7 +119,7 @@
 	return out
 }
 
-// idleMachines returns the machines on which their blocks' holders have placed nothing.
+// idleMachines returns the machines on which their blocks' holders have booked nothing.
 func (n *Node) idleMachines() map[core.MachineID]bool {
 	out := map[core.MachineID]bool{}
 	for _, num := range core.SortedKeys(n.mirror.Blocks) {
--- a/internal/node/responses.go
+++ b/internal/node/responses.go
@@ -23,7 +23,7 @@
 const responseValidity = time.Second
 
 // jobResponse returns the status of a job as shown by the mirror, which has been confirmed
-// to be up to date.
+// fresh.
 func (n *Node) jobResponse(id core.JobID, e *state.JobEntry) Response {
 	a := Response{Status: 200, Body: n.status(id, e)}
 	if !e.Finished() {
@@ -78,7 +78,7 @@
 }
 
 // GetJob handles a status query. The status of a finished job is final; any other is
-// returned only once the mirror is confirmed to be up to date.
+// returned only once the mirror is confirmed fresh.
 func (n *Node) GetJob(id core.JobID, reply Reply) {
 	if e := n.mirror.Jobs[id]; e != nil && e.Finished() {
 		reply(n.jobResponse(id, e))
@@ -97,8 +97,7 @@
 	})
 }
 
-// whenFresh calls then once the mirror is confirmed to be up to date, or replies with an
-// error.
+// whenFresh calls then once the mirror is confirmed fresh, or replies with an error.
 func (n *Node) whenFresh(reply Reply, then func()) {
 	if !n.mirror.Complete() {
 		reply(n.retryLater("starting"))
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -56,14 +56,14 @@
 	rep             *api.Report
 	since           core.Time
 	deadline        core.Time // until when to wait at most
-	suspectDeadline core.Time // until when to wait if the holder is only suspected to be gone
+	suspectDeadline core.Time // until when to wait if the holder is only suspected (see holderSuspected)
 	reply           Reply
 }
 
 const (
 	maxDeferred = 1000
 	// suspectWait is how long to wait for the replacement of a holder that is only suspected
-	// to be gone.
+	// (see holderSuspected).
 	suspectWait = 1500 * time.Millisecond
 )
 
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -30,8 +30,7 @@
 type Heartbeat struct {
 	Host    core.Host
 	LeaseID core.LeaseID // 0: the sender has no lease
-	// Staleness is the time since the sender's copy of the state was last confirmed to be
-	// up to date.
+	// Staleness is the time since the sender's mirror of the state was last confirmed fresh.
 	Staleness time.Duration
 	// WriteRate is the sender's recent rate of changes at the state service, in tenths of a
 	// change per second.
@@ -44,15 +43,15 @@
 	Failing []core.JobID
 }
 
-// BlockHint is a holder's summary of its block.
+// BlockHint is the state of a block as its holder sees it.
 type BlockHint struct {
 	Number         int              // of the block
 	Term           core.Term        // of the holder's grant
-	Placing        bool             // the holder has discovered its machines and places tasks
+	Placing        bool             // the holder has recovered the state of its machines and places tasks
 	WaitingTasks   int              // tasks that wait to be placed
 	LiveMachines   int              // machines that report to the holder
 	SilentMachines int              // machines that have stopped reporting to it
-	IdleMachines   []core.MachineID // live machines on which nothing is placed
+	IdleMachines   []core.MachineID // live machines on which nothing is booked
 }
 
 // MisroutedHint counts the machines of another holder's block that have recently reported
--- a/internal/placement/backfill.go
+++ b/internal/placement/backfill.go
@@ -9,11 +9,11 @@
 func (p *pass) besideReservation(j *Job) freeFunc {
 	return func(m *Machine) Resources {
 		free := m.Free()
-		hold, held := p.result.ReservedResources[m.ID]
-		if !held || p.now.Add(j.Estimate) <= p.result.ReservedAt {
+		reserved, ok := p.result.ReservedResources[m.ID]
+		if !ok || p.now.Add(j.Estimate) <= p.result.ReservedAt {
 			return free
 		}
-		freeAtStart := m.freeAt(p.result.ReservedAt).Sub(hold)
+		freeAtStart := m.freeAt(p.result.ReservedAt).Sub(reserved)
 		return free.Min(freeAtStart)
 	}
 }
--- a/internal/placement/defer_test.go
+++ b/internal/placement/defer_test.go
@@ -52,7 +52,7 @@
 			}
 		}
 		if n != most || !inTime(chosen) {
-			t.Fatalf("seed %d: %d of %d jobs kept, %d could be in time", seed, n, len(jobs), most)
+			t.Fatalf("seed %d: %d of %d jobs kept in time, %d could be in time", seed, n, len(jobs), most)
 		}
 	}
 }
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -160,8 +160,8 @@
 	})
 }
 
-// Allows reports whether a task of the job may run on a machine of this type, zone and price class,
-// regardless of the job's other tasks.
+// Allows reports whether a task of the job may run on a machine of this type and zone, spot or
+// on-demand, regardless of the job's other tasks.
 func (j *Job) Allows(typ, zone string, spot bool) bool {
 	if spot && !j.Spot || j.Zone != "" && j.Zone != zone {
 		return false
@@ -223,7 +223,7 @@
 	return !m.GangReserved || j.GangMachinesOnly || j.Starvation != NotStarving && m.leavesGangRoom(j)
 }
 
-// gangMayUse is mayUse for a gang, which the reservation for gangs does not exclude.
+// gangMayUse is mayUse for a gang, which may use machines that are reserved for gangs.
 func (j *Job) gangMayUse(m *Machine) bool {
 	return !m.Draining || j.Starvation == Starved && j.Need.Fits(m.RecentMinFree)
 }
