--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -36,15 +36,15 @@
 	Addr string
 }
 
-// Team holds a team's guaranteed CPUs and GPUs and its limits, which are Unlimited if it has none.
+// Team holds a team's guaranteed CPUs and GPUs and its quotas, which are Unlimited if it has none.
 type Team struct {
 	Name          string
 	CPUs, CPUsMax float64
 	GPUs, GPUsMax float64
 }
 
-// Unlimited is the limit of a team without a limit. It exceeds any fleet and, being a number, can
-// be compared, added and divided like other limits.
+// Unlimited is the quota of a team without one. It exceeds any fleet and, being a number, can be
+// compared, added and divided like other quotas.
 const Unlimited = 1e12
 
 // Objective is a service-level objective on starting or finishing jobs, as set by users.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -79,16 +79,16 @@
 	}
 }
 
-// A borrowing team has neither a guarantee nor a limit: 0 means no limit. When it was rejected as
+// A borrowing team has neither a guarantee nor a quota: 0 means no quota. When it was rejected as
 // invalid, such a team kept every controller from starting.
-func TestTeamWithoutLimit(t *testing.T) {
+func TestTeamWithoutQuota(t *testing.T) {
 	borrower := "\n[[settings.teams]]\nname = \"borrower\"\ncpus = 0.0\ncpus_max = 0.0\ngpus = 0.0\ngpus_max = 0.0\n"
 	c, err := parse([]byte(validConfig + borrower))
 	if err != nil || len(c.Teams) != 2 || c.Teams[1].CPUs != 0 || c.Teams[1].CPUsMax < 1e9 || c.Teams[1].GPUsMax < 1e9 {
 		t.Fatalf("%+v, %v", c, err)
 	}
 	if c.Teams[0].CPUsMax != 2 || c.Teams[0].GPUsMax != 0 {
-		t.Fatalf("wrong limits: %+v", c.Teams[0])
+		t.Fatalf("wrong quotas: %+v", c.Teams[0])
 	}
 	if _, err = parse([]byte(validConfig + strings.Replace(borrower, "cpus_max = 0.0", "cpus_max = -1.0", 1))); err == nil || !strings.Contains(err.Error(), "settings.teams[1].cpus_max") {
 		t.Fatal(err)
--- a/internal/config/platform.go
+++ b/internal/config/platform.go
@@ -161,7 +161,7 @@
 		}
 		seen[team.Name] = true
 		if team.CPUsMax == 0 {
-			// A limit of 0 means no limit. When it was rejected as invalid, a borrowing team's
+			// A quota of 0 means no quota. When it was rejected as invalid, a borrowing team's
 			// entry kept every controller from starting (docs/incidents/inc-39d9.md).
 			team.CPUsMax = Unlimited
 			if team.GPUsMax == 0 {
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// runNext runs the oldest function of a queue and returns whether there was one.
+// runNext runs the oldest function of a queue and reports whether there was one.
 func runNext(queue chan func()) bool {
 	select {
 	case f := <-queue:
--- a/internal/core/set.go
+++ b/internal/core/set.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Has returns whether n is in the set.
+// Has reports whether n is in the set.
 func (s IndexSet) Has(n int) bool {
 	i, _ := slices.BinarySearchFunc(s.ranges, n, func(p indexRange, n int) int { return p.hi - n })
 	return i < len(s.ranges) && s.ranges[i].lo <= n
@@ -47,7 +47,7 @@
 	return n
 }
 
-// Empty returns whether the set has no members.
+// Empty reports whether the set has no members.
 func (s IndexSet) Empty() bool { return len(s.ranges) == 0 }
 
 // Clone returns a copy of the set.
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -75,7 +75,7 @@
 	return TaskID{JobID(job), n}, nil
 }
 
-// Newer returns whether message t of session s of a worker is newer than its message t2 of
+// Newer reports whether message t of session s of a worker is newer than its message t2 of
 // session s2. Any message of a later session is newer.
 func Newer(s Session, t Sequence, s2 Session, t2 Sequence) bool {
 	return s > s2 || s == s2 && t > t2
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// Call sends a request; done runs on the event loop. It gets status 0 if no response came and, after
-// 1 ms, if there was no free slot.
+// Call sends a request; done runs on the event loop. It gets status 0 if no response came and,
+// after 1 ms, if there was no free slot.
 func (c *Caller) Call(r core.Request, done func(core.Response)) {
 	svc := c.services[r.Addr]
 	slots := c.workerSlots
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -31,7 +31,7 @@
 	// ReplacementHolder returns the controller that should take over a block whose holder
 	// does not receive reports from its machines.
 	ReplacementHolder func(block int) (core.Host, bool)
-	// HolderReady returns whether a block's holder has recovered the state of its machines
+	// HolderReady reports whether a block's holder has recovered the state of its machines
 	// and places tasks.
 	HolderReady func(block int) bool
 	// FailingJobs returns the jobs that have failed on more than one machine and completed
@@ -39,7 +39,7 @@
 	FailingJobs func() map[core.JobID]bool
 	// RunningTasks counts the running tasks by job.
 	RunningTasks func() map[core.JobID]int
-	// LeaseValid returns whether our lease has certainly not expired.
+	// LeaseValid reports whether our lease has certainly not expired.
 	LeaseValid func() bool
 	// IdleMachines returns the machines of blocks on which nothing is booked.
 	IdleMachines func() map[core.MachineID]bool
@@ -252,7 +252,7 @@
 	return out
 }
 
-// holderHasLease returns whether a block's holder still has the lease of its grant.
+// holderHasLease reports whether a block's holder still has the lease of its grant.
 func (l *Leader) holderHasLease(b *state.Block) bool {
 	m, ok := l.Mirror.Members[b.Holder]
 	return ok && m.Record.LeaseID == b.LeaseID
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -34,7 +34,7 @@
 	l.requestRentals(plan.Rent)
 }
 
-// planIsDue returns whether it is time for the next plan, and otherwise schedules it.
+// planIsDue reports whether it is time for the next plan, and otherwise schedules it.
 func (l *Leader) planIsDue(now core.Time) bool {
 	wait := l.lastPlan.Add(minPlanInterval).Sub(now)
 	if l.lastPlan == 0 || wait <= 0 {
@@ -179,7 +179,7 @@
 	l.rented = unrecorded
 }
 
-// pendingRent returns whether a machine has been rented but is not yet shown by the mirror.
+// pendingRent reports whether a machine has been rented but is not yet shown by the mirror.
 func (l *Leader) pendingRent(id core.MachineID) bool {
 	for _, m := range l.rented {
 		if m.ID == id {
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -212,7 +212,7 @@
 	return waiting
 }
 
-// hasBooted returns whether a machine has booted: it has been in use, or the cloud lists it
+// hasBooted reports whether a machine has booted: it has been in use, or the cloud lists it
 // as running.
 func (l *Leader) hasBooted(m *state.Machine) bool {
 	return m.InUse || m.LastTerm > 0 || l.listed[m.ID].Phase == api.MachineRunning
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -37,7 +37,7 @@
 	BlockTerm *prometheus.GaugeVec
 	// StateRevision is the revision of the state service that the controller has read.
 	StateRevision prometheus.Gauge
-	// ProofAge is the time, in seconds, since the local replica was last proven complete.
+	// ProofAge is the time, in seconds, since the mirror was last confirmed fresh.
 	ProofAge prometheus.Gauge
 }
 
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -79,7 +79,7 @@
 	return peer.BlockHint{}, false
 }
 
-// holderReady returns whether a block's holder says that it places tasks under its current
+// holderReady reports whether a block's holder says that it places tasks under its current
 // grant.
 func (n *Node) holderReady(num int) bool {
 	b, ok := n.mirror.Blocks[num]
@@ -90,7 +90,7 @@
 	return ok && hint.Term == b.Record.Term && hint.Placing
 }
 
-// looksIsolated returns whether a block's holder appears not to receive reports from most
+// looksIsolated reports whether a block's holder appears not to receive reports from most
 // of the block's machines, though it may otherwise be healthy. A holder without a recent
 // hint counts as isolated if its block has machines. A grant that this node has observed
 // for less than recoveryTime does not count.
@@ -109,7 +109,7 @@
 	return ok && hint.SilentMachines > 0 && hint.SilentMachines > hint.LiveMachines || !ok && n.mirror.Inventory(num).Len() > 0
 }
 
-// holderSuspected returns whether a block's holder has been silent for two and a half
+// holderSuspected reports whether a block's holder has been silent for two and a half
 // heartbeat intervals, or no longer receives reports from some of the block's machines.
 func (n *Node) holderSuspected(num int) bool {
 	b, ok := n.mirror.Blocks[num]
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -91,7 +91,7 @@
 	}
 }
 
-// memberKeyReplaced returns whether the member key names another lease than ours, though
+// memberKeyReplaced reports whether the member key names another lease than ours, though
 // ours was written. A registration under an earlier lease, applied late, had replaced it:
 // the node kept renewing its own lease, no other node counted it as live, and as the leader
 // it was deposed by all of them at once.
@@ -124,7 +124,7 @@
 	})
 }
 
-// leaderless returns whether there is no leader: there is no leader key, or one that has
+// leaderless reports whether there is no leader: there is no leader key, or one that has
 // outlived its lease, which should not happen and must not last.
 func (n *Node) leaderless() bool {
 	l := n.mirror.Leader.Record
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -92,7 +92,7 @@
 	n.loop.After(freshnessInterval, n.confirmFreshness)
 }
 
-// leaseValid returns whether our lease has certainly not expired, at least from its first
+// leaseValid reports whether our lease has certainly not expired, at least from its first
 // renewal on: until then its time counts from the response to the grant, which is later than
 // the grant itself.
 func (n *Node) leaseValid() bool {
@@ -158,7 +158,7 @@
 	n.retryDeferred()
 }
 
-// isReady returns whether a job may run: all jobs that it depends on are done.
+// isReady reports whether a job may run: all jobs that it depends on are done.
 func (n *Node) isReady(e *state.JobEntry) bool {
 	_, ok := n.mirror.ReadyAt(e)
 	return ok
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// isCutOff returns whether this node cannot reach the state service while another one can.
+// isCutOff reports whether this node cannot reach the state service while another one can.
 // Users are better served there. If no node can reach it, none counts as cut off.
 func (n *Node) isCutOff() bool {
 	if n.staleness() < maxStaleness {
--- a/internal/sim/attempts_test.go
+++ b/internal/sim/attempts_test.go
@@ -9,7 +9,7 @@
 
 // attemptsReplaced names the fault that records a report of each machine, restarts every gang
 // task with a new attempt and then moves blocks between controllers. Copies of the recorded
-// reports reach the new holders before the machines' answers do.
+// reports reach the new holders before the machines' responses do.
 const attemptsReplaced = "attempts replaced, old reports reach the new holders"
 
 // submitSingleTaskGangs submits, for every team, gangs of one task that runs for minutes. A
--- a/internal/sim/borrower_test.go
+++ b/internal/sim/borrower_test.go
@@ -10,7 +10,7 @@
 )
 
 // worldWithBorrower returns a world of five controllers with a low request limit at the state
-// service, shared by all of them, in which one team without a guarantee or a limit borrows all
+// service, shared by all of them, in which one team without a guarantee or a quota borrows all
 // the capacity it uses.
 func worldWithBorrower(seed uint64) *World {
 	w := fleet(5, 170, seed)
@@ -36,11 +36,11 @@
 	}
 }
 
-// A team without a guarantee submits best-effort work for far more machines than there are, one
-// array of thousands of short tasks and hundreds of single-task jobs, while users poll many
+// A team without a guarantee submits work of the lowest rank for far more machines than there are,
+// one array of thousands of short tasks and hundreds of single-task jobs, while users poll many
 // times as often as usual and the busiest controller restarts. The request limit of the state
-// service is low: watches and freshness proofs once used all of it, so that submissions were
-// told to retry for a minute and no completed task was recorded.
+// service is low: watches and the requests that confirm freshness once used all of it, so that
+// submissions were told to retry for a minute and no completed task was recorded.
 func TestTeamWithoutGuaranteeIsServed(t *testing.T) {
 	w := worldWithBorrower(81)
 	w.fleetLoad(200*time.Second, 0.12, 0.1)
@@ -95,9 +95,9 @@
 	}
 }
 
-// Best-effort work that occupies all machines is checkpointed and preempted when work of a
+// Opportunistic work that occupies all machines is checkpointed and preempted when work of a
 // higher rank arrives, and resumes afterwards. It used to hold its machines for minutes.
-func TestBestEffortWorkIsPreempted(t *testing.T) {
+func TestOpportunisticWorkIsPreempted(t *testing.T) {
 	w := worldWithBorrower(82)
 	for k := range w.Cloud.Capacity {
 		w.Cloud.Capacity[k] = 0 // nothing can be rented
@@ -125,7 +125,7 @@
 		}
 	}
 	if busy < len(w.Cloud.RunningMachines())*9/10 {
-		t.Fatalf("best-effort work has only %d of %d machines", busy, len(w.Cloud.RunningMachines()))
+		t.Fatalf("opportunistic work has only %d of %d machines", busy, len(w.Cloud.RunningMachines()))
 	}
 	w.Run(110 * time.Second)
 	for i := range 4 {
@@ -136,7 +136,7 @@
 	w.Run(700 * time.Second)
 	for i := range 4 {
 		if j := w.Checker.jobs[fmt.Sprintf("req-71%04d", i)]; len(j.done) < 40 {
-			t.Errorf("%d of 40 tasks of best-effort job %d done", len(j.done), i)
+			t.Errorf("%d of 40 tasks of opportunistic job %d done", len(j.done), i)
 		}
 	}
 	if len(w.Checker.Violations) > 0 {
@@ -190,7 +190,7 @@
 }
 
 // A team that the settings no longer name after a restart keeps its jobs: queries about them
-// are answered, and they run within the limit the team had. Such jobs used to stay known but
+// are answered, and they run within the quota the team had. Such jobs used to stay known but
 // never ran.
 func TestRemovedTeamIsServed(t *testing.T) {
 	w := NewWorld(Settings(3), 84, nil)
--- a/internal/sim/checker_test.go
+++ b/internal/sim/checker_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// A job whose queries get no answer for 75 s after the last fault counts as forgotten, even if
+// A job whose queries get no response for 75 s after the last fault counts as forgotten, even if
 // other jobs' queries are answered. A job that was cancelled, or whose query was answered in
 // time, does not.
 func TestForgottenAfterFaults(t *testing.T) {
@@ -155,7 +155,7 @@
 		return c
 	}
 	if c := history(false, 0); len(c.Violations) == 0 || !strings.Contains(c.Violations[0], "forgotten") {
-		t.Fatal("a job without an answer for more than 75 s is not reported as forgotten", c.Violations)
+		t.Fatal("a job without a response for more than 75 s is not reported as forgotten", c.Violations)
 	}
 	for _, c := range []*Checker{history(true, 0), history(false, 150*time.Second)} {
 		if len(c.Violations) > 0 {
--- a/internal/sim/checkusers.go
+++ b/internal/sim/checkusers.go
@@ -14,7 +14,7 @@
 }
 
 // StatusReturned checks a phase returned to a user by a query sent at the time asked. The
-// answer to a query sent before the user learned a newer phase may be older than that phase.
+// response to a query sent before the user learned a newer phase may be older than that phase.
 func (c *Checker) StatusReturned(id, phase string, asked SimTime) {
 	j := c.jobs[id]
 	if j == nil {
@@ -97,7 +97,7 @@
 	return at, true
 }
 
-// NotFound checks a 404 answer to a query sent at the time asked.
+// NotFound checks a 404 response to a query sent at the time asked.
 func (c *Checker) NotFound(id string, asked SimTime) {
 	if j := c.jobs[id]; j != nil && j.accepted && asked >= j.acceptedAt {
 		c.fail("forgotten: a query about accepted job %s is answered 404", id)
@@ -149,7 +149,7 @@
 	}
 }
 
-// InvalidSubmission checks the answer to a submission that can never run, or whose fields are
+// InvalidSubmission checks the response to a submission that can never run, or whose fields are
 // missing or invalid.
 func (c *Checker) InvalidSubmission(what string, status int) {
 	if status == 200 || status == 201 {
--- a/internal/sim/cloud.go
+++ b/internal/sim/cloud.go
@@ -27,7 +27,7 @@
 	BootFailProb float64 // probability that a rented machine never boots
 	// BootTimeFactor multiplies the boot time of machines; 0 means 1.
 	BootTimeFactor float64
-	LateCallProb   float64 // probability that a rental or return is carried out 10 to 90 s late, its answer lost
+	LateCallProb   float64 // probability that a rental or return is carried out 10 to 90 s late, its response lost
 }
 
 func newCloud(w *World) *Cloud {
@@ -80,7 +80,7 @@
 	return out
 }
 
-// Reclaim removes a machine that was returned, or a spot machine that the cloud takes back.
+// Reclaim removes a machine that was returned, or a spot machine that the cloud reclaims.
 func (c *Cloud) Reclaim(m *Machine) {
 	if c.machines[m.ID] == nil {
 		return
@@ -90,7 +90,7 @@
 	c.Capacity[capacityKey(m.typ.Name, m.zone, m.spot)]++
 }
 
-// handle serves a request after 50 to 300 ms, or late and without an answer (LateCallProb).
+// handle serves a request after 50 to 300 ms, or late and without a response (LateCallProb).
 func (c *Cloud) handle(_ endpoint, r core.Request, reply func(core.Response)) {
 	delay := time.Duration(c.w.uniform(50, 300) * float64(time.Millisecond))
 	if c.LateCallProb > 0 && r.Method == "POST" && c.w.chance(c.LateCallProb) {
@@ -102,28 +102,28 @@
 
 func (c *Cloud) serve(r core.Request, reply func(core.Response)) {
 	if c.w.now < c.downUntil {
-		reply(answer(503, api.Error{Error: "trouble"}))
+		reply(newResponse(503, api.Error{Error: "trouble"}))
 		return
 	}
 	if !c.requests.take(c.w.now, 1) {
-		reply(answer(429, api.Error{Error: "too many requests"}))
+		reply(newResponse(429, api.Error{Error: "too many requests"}))
 		return
 	}
 	path, query, _ := strings.Cut(r.Path, "?")
 	switch {
 	case path == "/flavors":
-		reply(answer(200, api.MachineTypes{Types: c.Types}))
+		reply(newResponse(200, api.MachineTypes{Types: c.Types}))
 	case path == "/hosts" && r.Method == "GET":
 		q, _ := url.ParseQuery(query)
 		at := max(0, c.w.now-time.Duration(float64(c.w.Cfg.CloudLimits.ListLag)*c.w.uniform(1, 2)))
 		most, _ := strconv.Atoi(q.Get("most"))
-		reply(answer(200, c.list(at, q.Get("from"), most)))
+		reply(newResponse(200, c.list(at, q.Get("from"), most)))
 	case path == "/hosts":
 		c.rent(r.Body, reply)
 	case path == "/hosts/return":
 		var n api.MachineIDs
 		if json.Unmarshal(r.Body, &n) != nil || len(n.Machines) > 100 {
-			reply(answer(400, api.Error{Error: "malformed"}))
+			reply(newResponse(400, api.Error{Error: "malformed"}))
 			return
 		}
 		for _, id := range n.Machines {
@@ -131,26 +131,26 @@
 				c.Reclaim(m)
 			}
 		}
-		reply(answer(200, struct{}{}))
+		reply(newResponse(200, struct{}{}))
 	default:
-		reply(answer(400, api.Error{Error: "malformed"}))
+		reply(newResponse(400, api.Error{Error: "malformed"}))
 	}
 }
 
-// rent rents up to the requested number of machines. A repeated request gets the same answer.
+// rent rents up to the requested number of machines. A repeated request gets the same response.
 func (c *Cloud) rent(body []byte, reply func(core.Response)) {
 	var r api.Rental
 	if json.Unmarshal(body, &r) != nil || r.RequestID == "" || r.Count < 1 || r.Count > 50 || c.machineType(r.Type) == nil {
-		reply(answer(400, api.Error{Error: "malformed"}))
+		reply(newResponse(400, api.Error{Error: "malformed"}))
 		return
 	}
 	if got, ok := c.rentals[r.RequestID]; ok {
-		reply(answer(200, api.MachineIDs{Machines: got}))
+		reply(newResponse(200, api.MachineIDs{Machines: got}))
 		return
 	}
 	n := min(r.Count, c.Capacity[capacityKey(r.Type, r.Zone, r.Spot)])
 	if n <= 0 {
-		reply(answer(503, api.Error{Error: "no capacity"}))
+		reply(newResponse(503, api.Error{Error: "no capacity"}))
 		return
 	}
 	var got []string
@@ -168,7 +168,7 @@
 		got = append(got, c.Add(r.Type, r.Zone, r.Spot, boot).ID)
 	}
 	c.rentals[r.RequestID] = got
-	reply(answer(200, api.MachineIDs{Machines: got}))
+	reply(newResponse(200, api.MachineIDs{Machines: got}))
 }
 
 // list returns up to most machines with IDs after from, as they were at a time, without those
--- a/internal/sim/combined_faults_test.go
+++ b/internal/sim/combined_faults_test.go
@@ -17,7 +17,7 @@
 type combination struct {
 	name   string
 	inject func(w *World)
-	// longTasks fills the teams' limits with tasks that run for minutes.
+	// longTasks fills the teams' quotas with tasks that run for minutes.
 	longTasks bool
 	// faultsEnd is when the last fault has ended; 0 means 240 s.
 	faultsEnd time.Duration
@@ -30,8 +30,8 @@
 	return j
 }
 
-// fillTeamLimits submits jobs of long tasks for every team that together need its CPU limit.
-func fillTeamLimits(w *World, n int) {
+// fillTeamQuotas submits jobs of long tasks for every team that together need its CPU quota.
+func fillTeamQuotas(w *World, n int) {
 	for i, team := range w.Cfg.Teams {
 		for k := range 3 {
 			j := unconstrainedJob(w, n+10*i+k)
@@ -180,7 +180,7 @@
 			w.leader().Restart(3 * time.Second)
 		})
 		at(w, 110, func() { w.Users.CancelRunning(8, 9*time.Second); w.leader().Restart(200 * time.Millisecond) })
-		at(w, 112, func() { fillTeamLimits(w, 9200) })
+		at(w, 112, func() { fillTeamQuotas(w, 9200) })
 	}, true, 0},
 	{"blocks move back and forth, all controllers end, one returns", func(w *World) {
 		for i := range 6 {
@@ -231,8 +231,8 @@
 	}, true, 0},
 	{"more work than capacity over slow links", func(w *World) {
 		w.MaxExtraLatency = 300 * time.Millisecond
-		at(w, 20, func() { fillTeamLimits(w, 9300) })
-		at(w, 50, func() { fillTeamLimits(w, 9400) })
+		at(w, 20, func() { fillTeamQuotas(w, 9300) })
+		at(w, 50, func() { fillTeamQuotas(w, 9400) })
 		injectAt(w, 80, "late writes")
 		at(w, 200, func() { w.MaxExtraLatency = 0 })
 	}, true, 0},
@@ -240,7 +240,7 @@
 		w.Cloud.BootTimeFactor = 0.05
 		for i := range 5 {
 			injectAt(w, 40+30*float64(i), "late writes")
-			at(w, 41+30*float64(i), func() { fillTeamLimits(w, 9500+100*i) })
+			at(w, 41+30*float64(i), func() { fillTeamQuotas(w, 9500+100*i) })
 			at(w, 43+30*float64(i), func() { w.leader().Restart(time.Duration(w.uniform(0.1, 4) * float64(time.Second))) })
 		}
 	}, false, 0},
@@ -294,7 +294,7 @@
 				w.Populate()
 				w.GenerateLoad(200*time.Second, 5*time.Second)
 				if m.longTasks {
-					at(w, 8, func() { fillTeamLimits(w, 9900) })
+					at(w, 8, func() { fillTeamQuotas(w, 9900) })
 				}
 				at(w, 1, func() { m.inject(w) })
 				faultsEnd := m.faultsEnd
@@ -310,15 +310,15 @@
 	}
 }
 
-// The state service rejects requests of the holder of running tasks, another controller
-// confirms that their jobs are cancelled, and then the service is unavailable for longer than a
-// cancellation may take. The old leader still answers its workers and receives no cancellation
-// hint. It must stop renewing their leases because its last freshness proof is too old.
+// The state service rejects requests of the holder of running tasks, another controller confirms
+// that their jobs are cancelled, and then the service is unavailable for longer than a cancellation
+// may take. The old leader still answers its workers and receives no cancellation hint. It must
+// stop renewing their leases because its mirror was last confirmed fresh too long ago.
 func TestCancellationConfirmedWithoutOldLeader(t *testing.T) {
 	for seed := range seeds(6) {
 		w := NewWorld(Settings(3), 4500+seed, nil)
 		w.Populate()
-		at(w, 5, func() { fillTeamLimits(w, 100) })
+		at(w, 5, func() { fillTeamQuotas(w, 100) })
 		confirmed, ran := 0, 0
 		for _, start := range []float64{60, 160} {
 			at(w, start, func() {
@@ -360,7 +360,7 @@
 	for seed := range seeds(6) {
 		w := NewWorld(Settings(3), 4600+seed, nil)
 		w.Populate()
-		at(w, 5, func() { fillTeamLimits(w, 100) })
+		at(w, 5, func() { fillTeamQuotas(w, 100) })
 		at(w, 60, func() {
 			w.State.RejectRequestsFrom(w.leader().name, 14*time.Second)
 			w.Partition("users", endpoint(w.leader().name), 14*time.Second, false)
@@ -424,12 +424,12 @@
 }
 
 // A machine whose reports reach no controller, although it answers commands, gets no work and is
-// returned to the cloud. It used to be planned for repeatedly, each time for seconds, while the planned tasks
-// waited.
+// returned to the cloud. It used to be planned for repeatedly, each time for seconds, while the
+// planned tasks waited.
 func TestMachineWithoutReportsGetsNoWork(t *testing.T) {
 	w := NewWorld(Settings(3), 41, nil)
 	w.Populate()
-	at(w, 5, func() { fillTeamLimits(w, 100) })
+	at(w, 5, func() { fillTeamQuotas(w, 100) })
 	var isolated *Machine
 	at(w, 40, func() {
 		isolated = w.busiestMachines(1)[0]
@@ -513,7 +513,7 @@
 }
 
 // Different controllers write a job's completion and its cancellation at the same moment, and
-// one of the two writes is applied a second late, after the wait for its answer has ended. The
+// one of the two writes is applied a second late, after the wait for its response has ended. The
 // first write applied stands, and no user is told otherwise.
 func TestCompletionRacesCancellation(t *testing.T) {
 	for _, phase := range []state.JobPhase{state.JobDone, state.JobCancelled} {
--- a/internal/sim/faults.go
+++ b/internal/sim/faults.go
@@ -82,7 +82,7 @@
 		}
 	},
 	"answers to a worker lost": func(w *World) {
-		// Its reports arrive, but answers and commands do not reach it.
+		// Its reports arrive, but responses and commands do not reach it.
 		if m := w.randomMachine(); m != nil {
 			w.PartitionOneWay("", endpoint(m.addr), time.Duration(w.uniform(10, 90)*float64(time.Second)), w.chance(0.3))
 		}
@@ -324,7 +324,7 @@
 	m.reportsLostUntil = max(m.reportsLostUntil, w.now+d)
 }
 
-// DropResponses drops answers and commands to a machine, while its reports arrive.
+// DropResponses drops responses and commands to a machine, while its reports arrive.
 func (w *World) DropResponses(m *Machine, d time.Duration) {
 	w.PartitionOneWay("", endpoint(m.addr), d, false)
 }
--- a/internal/sim/pipeline_test.go
+++ b/internal/sim/pipeline_test.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// Only a controller with proof that its state is current answers 422 to a submission that
+// Only a controller whose mirror is confirmed fresh answers 422 to a submission that
 // depends on a job never accepted; any other controller answers 503.
 func TestUnknownDependency(t *testing.T) {
 	w := NewWorld(Settings(3), 62, nil)
@@ -189,7 +189,7 @@
 		t.Fatalf("answered %d", got)
 	}
 	if got := ask(w.Hosts[1], second); got != 503 {
-		t.Fatalf("a controller without proof of current state answers %d, want 503", got)
+		t.Fatalf("a controller whose mirror is not confirmed fresh answers %d, want 503", got)
 	}
 	for _, h := range []*Host{w.Hosts[2], w.Hosts[0]} {
 		if got := ask(h, second); got != 201 && got != 200 {
@@ -198,18 +198,18 @@
 	}
 }
 
-// A repeated submission is answered by the state of the job, whatever it contains and whatever
-// has become of its dependencies. While that state cannot be proven, the answer is to retry,
-// never a refusal. An answer that may still change carries an expiry time, so that it is not
-// sent late.
+// A repeated submission is answered by the state of the job, whatever it contains and whatever has
+// become of its dependencies. While the mirror cannot be confirmed fresh, the user is told to
+// retry and never refused. A response that may still change carries an expiry time, so that it is
+// not sent late.
 func TestRepeatedSubmissionIsNeverRefused(t *testing.T) {
 	w := NewWorld(Settings(3), 63, nil)
 	w.Populate()
 	w.Run(5 * time.Second)
-	submit := func(h *Host, body []byte) (answer node.Response) {
-		h.process.node.Submit(body, func(a node.Response) { answer = a })
+	submit := func(h *Host, body []byte) (response node.Response) {
+		h.process.node.Submit(body, func(a node.Response) { response = a })
 		w.Run(w.Now() + 4*time.Second)
-		return answer
+		return response
 	}
 	unchanged := func(map[string]any) {}
 	first := w.step(1, "red")
@@ -241,7 +241,7 @@
 				}
 			}
 			if a := submit(w.Hosts[2], body); a.Status != 503 || a.RetryAfter == 0 {
-				t.Errorf("a repeated submission that %s is answered %+v by a controller without proof of current state", repeat.what, a)
+				t.Errorf("a repeated submission that %s is answered %+v by a controller whose mirror is not confirmed fresh", repeat.what, a)
 			}
 		}
 	}
@@ -302,7 +302,7 @@
 				case 1:
 					w.randomHost().Restart(4 * time.Second)
 				case 2:
-					fillTeamLimits(w, 9000)
+					fillTeamQuotas(w, 9000)
 				}
 			})
 			for i, name := range []string{"late writes", "crash all", "leader rejected, then state outage", "quick restart"} {
@@ -336,7 +336,7 @@
 		w.State.UnannouncedLimits = true
 		w.State.SetLimits(config.StateLimits{RPS: 100, WriteRPS: 25, ValueBytes: 8 << 10, TxnOps: 8})
 	})
-	at(w, 61, func() { fillTeamLimits(w, 9000) })
+	at(w, 61, func() { fillTeamQuotas(w, 9000) })
 	at(w, 90, func() { w.leader().Restart(time.Second) })
 	w.At(160*time.Second, func() { w.Checker.FaultsEnded(w.Now()) })
 	w.Run(420 * time.Second)
--- a/internal/sim/replay.go
+++ b/internal/sim/replay.go
@@ -24,7 +24,7 @@
 }
 
 // resend delivers a copy of a request after the given number of seconds. By then the sender may
-// be gone and the receiver may be another process; the answer is dropped.
+// be gone and the receiver may be another process; the response is dropped.
 func (w *World) resend(from endpoint, r core.Request, seconds float64) {
 	w.After(time.Duration(seconds*float64(time.Second)), func() {
 		if _, h := w.route(r.Addr); h != nil {
--- a/internal/sim/sim_test.go
+++ b/internal/sim/sim_test.go
@@ -307,7 +307,7 @@
 
 // A machine whose reports arrive while nothing reaches it must not keep a new holder from
 // placing tasks, nor be given work indefinitely. Its reports never carry the new term, and each
-// answer that was assumed to renew its lease postponed the time at which the lease had
+// response that was assumed to renew its lease postponed the time at which the lease had
 // certainly expired.
 func TestUnreachableMachineDoesNotStopPlacement(t *testing.T) {
 	for seed := range uint64(4) {
@@ -344,7 +344,7 @@
 		w.Run(170 * time.Second)
 		for _, m := range unreachable {
 			if m.lostStarts > 3 {
-				t.Fatalf("seed %d: machine %s was sent %d answers with starts that never reached it, want at most 3", seed, m.ID, m.lostStarts)
+				t.Fatalf("seed %d: machine %s was sent %d responses with starts that never reached it, want at most 3", seed, m.ID, m.lostStarts)
 			}
 		}
 	}
--- a/internal/sim/state.go
+++ b/internal/sim/state.go
@@ -35,12 +35,12 @@
 	// transactions that exceed them are refused, but break no rule.
 	UnannouncedLimits bool
 	TooLarge          int     // transactions refused for their size
-	LostResponseProb  float64 // probability that an answer is lost after the request was carried out
-	// LateWriteProb is the probability that a transaction gets no answer and is applied 2 to 12
+	LostResponseProb  float64 // probability that a response is lost after the request was carried out
+	// LateWriteProb is the probability that a transaction gets no response and is applied 2 to 12
 	// s later, after newer ones.
 	LateWriteProb float64
 	// LostWriteResponseProb is the probability that a transaction is applied at once and its
-	// answer is lost.
+	// response is lost.
 	LostWriteResponseProb float64
 	// OnTxn, if set, returns the fault of each transaction, so that a test can inject a fault
 	// at an exact step.
@@ -56,9 +56,9 @@
 
 // TxnFault describes a fault injected into a transaction.
 type TxnFault struct {
-	ApplyDelay    time.Duration // applied that much later, without an answer
-	ResponseLost  bool          // applied at once, but the answer is lost
-	ResponseDelay time.Duration // the answer takes that long
+	ApplyDelay    time.Duration // applied that much later, without a response
+	ResponseLost  bool          // applied at once, but the response is lost
+	ResponseDelay time.Duration // the response takes that long
 }
 
 // txnFault draws the fault of a transaction at random, or takes it from OnTxn if that is set.
@@ -159,7 +159,7 @@
 	s.w.After(d, s.answerWatches)
 }
 
-// Slow delays answers by 100 ms to 2.5 s for the given time.
+// Slow delays responses by 100 ms to 2.5 s for the given time.
 func (s *StateService) Slow(d time.Duration) { s.slowUntil = s.w.now + d }
 
 // unavailable reports whether requests of a client are answered 503.
@@ -180,8 +180,8 @@
 	s.w.After(delay, func() { s.serve(from, r, reply) })
 }
 
-// answer returns a response with a JSON body.
-func answer(status int, body any) core.Response {
+// newResponse returns a response with a JSON body.
+func newResponse(status int, body any) core.Response {
 	raw, err := json.Marshal(body)
 	if err != nil {
 		panic(err)
@@ -191,12 +191,12 @@
 
 func (s *StateService) serve(from endpoint, r core.Request, reply func(core.Response)) {
 	if s.unavailable(from) {
-		reply(answer(503, api.Error{Error: "trouble"}))
+		reply(newResponse(503, api.Error{Error: "trouble"}))
 		return
 	}
 	if !s.requests.take(s.w.now, 1) {
 		s.RateLimited++
-		reply(answer(429, api.Error{Error: "too many requests"}))
+		reply(newResponse(429, api.Error{Error: "too many requests"}))
 		return
 	}
 	path, query, _ := strings.Cut(r.Path, "?")
@@ -233,18 +233,18 @@
 	case path == "/grants":
 		var t api.LeaseRequest
 		if json.Unmarshal(r.Body, &t) != nil || t.TTLMS < 100 {
-			send(answer(400, api.Error{Error: "malformed"}))
+			send(newResponse(400, api.Error{Error: "malformed"}))
 			return
 		}
 		s.lastLeaseID++
 		s.leases[s.lastLeaseID] = &lease{ttl: time.Duration(t.TTLMS) * time.Millisecond}
 		s.renewLease(s.lastLeaseID)
-		send(answer(200, api.LeaseResponse{LeaseID: s.lastLeaseID}))
+		send(newResponse(200, api.LeaseResponse{LeaseID: s.lastLeaseID}))
 	case strings.HasPrefix(path, "/grants/"):
 		rest, renew := strings.CutSuffix(strings.TrimPrefix(path, "/grants/"), "/renew")
 		id, _ := strconv.ParseUint(rest, 10, 64)
 		if s.leases[id] == nil {
-			send(answer(404, api.Error{Error: "no such lease"}))
+			send(newResponse(404, api.Error{Error: "no such lease"}))
 			return
 		}
 		if renew {
@@ -252,9 +252,9 @@
 		} else {
 			s.endLease(id)
 		}
-		send(answer(200, struct{}{}))
+		send(newResponse(200, struct{}{}))
 	default:
-		send(answer(400, api.Error{Error: "malformed"}))
+		send(newResponse(400, api.Error{Error: "malformed"}))
 	}
 }
 
@@ -299,24 +299,24 @@
 	lim := s.lim
 	if json.Unmarshal(body, &t) != nil || len(body) > 64<<10 || len(t.Then) > lim.TxnOps || len(t.If) > 4*lim.TxnOps {
 		s.tooLarge("malformed or too large transaction: %.200s", body)
-		reply(answer(400, api.Error{Error: "malformed"}))
+		reply(newResponse(400, api.Error{Error: "malformed"}))
 		return
 	}
 	for _, c := range t.Then {
 		if len(c.Value) > lim.ValueBytes {
 			s.tooLarge("value of key %s exceeds the size limit", c.Set)
-			reply(answer(400, api.Error{Error: "malformed"}))
+			reply(newResponse(400, api.Error{Error: "malformed"}))
 			return
 		}
 	}
 	if !s.writes.take(s.w.now, float64(len(t.Then))) {
 		s.RateLimited++
-		reply(answer(429, api.Error{Error: "too many changes"}))
+		reply(newResponse(429, api.Error{Error: "too many changes"}))
 		return
 	}
 	for _, c := range t.Then {
 		if c.LeaseID != 0 && s.leases[c.LeaseID] == nil {
-			reply(answer(400, api.Error{Error: "no such lease"}))
+			reply(newResponse(400, api.Error{Error: "no such lease"}))
 			return
 		}
 	}
@@ -331,7 +331,7 @@
 		}
 	}
 	if failed != nil {
-		reply(answer(409, api.TxnResponse{Revision: s.revision, Failed: failed}))
+		reply(newResponse(409, api.TxnResponse{Revision: s.revision, Failed: failed}))
 		return
 	}
 	if len(t.Then) > 0 {
@@ -359,7 +359,7 @@
 		}
 		s.answerWatches()
 	}
-	reply(answer(200, api.TxnResponse{Revision: s.revision}))
+	reply(newResponse(200, api.TxnResponse{Revision: s.revision}))
 }
 
 // SetLimits replaces the limits from now on.
@@ -398,7 +398,7 @@
 		e := s.keys[k]
 		p.Items = append(p.Items, api.Item{Key: k, Value: e.value, Version: e.revision, LeaseID: e.lease})
 	}
-	reply(answer(200, p))
+	reply(newResponse(200, p))
 }
 
 // answerWatch answers a watch if it has events, is too old or has reached its deadline, and reports
@@ -408,7 +408,7 @@
 		return false // an open watch waits
 	}
 	if w.after < s.compacted {
-		w.reply(answer(410, api.Error{Error: "too old"}))
+		w.reply(newResponse(410, api.Error{Error: "too old"}))
 		return true
 	}
 	i := sort.Search(len(s.log), func(i int) bool { return s.log[i].Version > w.after })
@@ -421,7 +421,7 @@
 	if len(a.Events) == 0 && s.w.now < w.deadline {
 		return false
 	}
-	w.reply(answer(200, a))
+	w.reply(newResponse(200, a))
 	return true
 }
 
--- a/internal/sim/users.go
+++ b/internal/sim/users.go
@@ -17,10 +17,10 @@
 	jobs     map[string]*userJob
 	Accepted int // jobs whose users were told that they are accepted
 	Done     int // jobs whose users were told that they are done
-	Refused  int // submissions, repeated ones included, without an answer or told to retry
+	Refused  int // submissions, repeated ones included, without a response or told to retry
 	// PollRateFactor multiplies the rate at which users poll; values below 1 count as 1.
 	PollRateFactor float64
-	// Unanswered counts polls without a usable answer in time.
+	// Unanswered counts polls without a usable response in time.
 	Unanswered int
 	// BurstQueries makes users query all controllers and repeat the submission within
 	// milliseconds after a job was accepted, has ended or was cancelled. One in five of the
@@ -70,16 +70,16 @@
 				}
 				asked := u.w.now
 				u.w.exchange("users", core.Request{Addr: h.addr, Method: method, Path: path, Body: body, Timeout: 2 * time.Second}, func(res core.Response) {
-					u.checkAnswer(j, res, asked)
+					u.checkResponse(j, res, asked)
 				})
 			})
 		}
 	}
 }
 
-// checkAnswer passes an answer about a job to the checker, and reports whether it held the
+// checkResponse passes a response about a job to the checker, and reports whether it held the
 // job's status.
-func (u *Users) checkAnswer(j *userJob, res core.Response, asked SimTime) bool {
+func (u *Users) checkResponse(j *userJob, res core.Response, asked SimTime) bool {
 	var s api.JobStatus
 	switch {
 	case (res.Status == 200 || res.Status == 201) && json.Unmarshal(res.Body, &s) == nil:
@@ -141,7 +141,7 @@
 		// A repeated submission is answered by the state of the job, whatever it contains.
 		repeat := changedBody(j.spec, invalidChanges[u.w.Rand.IntN(len(invalidChanges))].change)
 		asked := u.w.now
-		u.call("POST", "/work", repeat, func(res core.Response) { u.checkAnswer(j, res, asked) })
+		u.call("POST", "/work", repeat, func(res core.Response) { u.checkResponse(j, res, asked) })
 	}
 	for _, invalid := range invalidChanges {
 		spec := j.spec
@@ -207,7 +207,7 @@
 		switch res.Status {
 		case 200, 201:
 			if json.Unmarshal(res.Body, &s) != nil {
-				u.w.Checker.fail("answer to a submission is not a valid job status")
+				u.w.Checker.fail("response to a submission is not a valid job status")
 				return
 			}
 			if !j.accepted {
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -33,7 +33,7 @@
 	reportsLostUntil SimTime  // its reports are lost until then
 	deferred         []func() // callbacks that came due while it hung
 
-	lostStarts   int     // lost answers that held a start command
+	lostStarts   int     // lost responses that held a start command
 	session      uint64  // increases when the worker's lease expires
 	reportSeq    uint64  // sequence number of the last report
 	term         uint64  // highest term seen
--- a/internal/sim/workerreport.go
+++ b/internal/sim/workerreport.go
@@ -48,7 +48,7 @@
 	return r
 }
 
-// send sends a report and handles its answer.
+// send sends a report and handles its response.
 func (m *Machine) send() {
 	m.checkLease()
 	m.reporting, m.lastReport = true, m.w.now
@@ -59,7 +59,7 @@
 		m.w.After(time.Second, func() {
 			m.whenResponsive(func() {
 				m.reporting = false
-				m.handleAnswer(core.Response{}, sent, session)
+				m.handleResponse(core.Response{}, sent, session)
 			})
 		})
 		return
@@ -71,14 +71,15 @@
 			}
 			done = true
 			m.reporting = false
-			m.handleAnswer(res, sent, session)
+			m.handleResponse(res, sent, session)
 		})
 	})
 }
 
-// handleAnswer handles the answer to a report. The worker switches controllers if it is redirected,
-// if the answer is missing or an error, or if it took more than 4 s by the worker's clock.
-func (m *Machine) handleAnswer(res core.Response, sent SimTime, session uint64) {
+// handleResponse handles the response to a report. The worker switches controllers if it is
+// redirected, if the response is missing or an error, or if it took more than 4 s by the worker's
+// clock.
+func (m *Machine) handleResponse(res core.Response, sent SimTime, session uint64) {
 	tryNextController := func() {
 		m.controller = (m.controller + 1) % len(m.w.Hosts)
 		m.report(time.Second)
@@ -91,7 +92,7 @@
 	case 200:
 		var a api.ReportResponse
 		if json.Unmarshal(res.Body, &a) != nil {
-			m.w.Checker.fail("answer to a report cannot be decoded: %.200s", res.Body)
+			m.w.Checker.fail("response to a report cannot be decoded: %.200s", res.Body)
 			return
 		}
 		if a.Term >= m.term && session == m.session {
@@ -120,17 +121,17 @@
 func (m *Machine) handle(_ endpoint, r core.Request, reply func(core.Response)) {
 	m.whenResponsive(func() {
 		if r.Path == "/inspect" {
-			reply(answer(200, m.snapshot()))
+			reply(newResponse(200, m.snapshot()))
 			return
 		}
 		var d api.CommandRequest
 		if json.Unmarshal(r.Body, &d) != nil || d.Session == 0 {
-			reply(answer(400, api.Error{Error: "malformed"}))
+			reply(newResponse(400, api.Error{Error: "malformed"}))
 			return
 		}
 		m.checkLease()
 		if d.Term < m.term || d.Session != m.session {
-			reply(answer(409, m.snapshot()))
+			reply(newResponse(409, m.snapshot()))
 			return
 		}
 		if d.Term > m.term {
@@ -138,6 +139,6 @@
 			m.report(500 * time.Millisecond)
 		}
 		m.execute(d.Commands)
-		reply(answer(200, m.snapshot()))
+		reply(newResponse(200, m.snapshot()))
 	})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -60,7 +60,7 @@
 	// Policy is the placement policy of the controllers.
 	Policy placement.Policy
 	// ResetProb is the probability that a connection is reset within 800 ms after a request was
-	// sent. Half of these requests arrive nevertheless, and only their answer is lost.
+	// sent. Half of these requests arrive nevertheless, and only their response is lost.
 	ResetProb float64
 	// DuplicateProb is the probability that a request arrives a second time, later.
 	DuplicateProb float64
@@ -129,7 +129,7 @@
 	w.now = max(w.now, until)
 }
 
-// chance returns true with probability p.
+// chance reports whether an event of probability p happens.
 func (w *World) chance(p float64) bool { return w.Rand.Float64() < p }
 
 // uniform returns a uniformly distributed number from lo to hi.
@@ -207,7 +207,7 @@
 	return !lost
 }
 
-// countLostStart counts a lost answer to a machine's report if it held a start command.
+// countLostStart counts a lost response to a machine's report if it held a start command.
 func (w *World) countLostStart(to endpoint, res core.Response) {
 	m := w.Cloud.byAddr[string(to)]
 	var a api.ReportResponse
@@ -225,7 +225,7 @@
 // handler answers a request; reply may be called later.
 type handler func(from endpoint, r core.Request, reply func(core.Response))
 
-// exchange sends a request and passes the answer to done. done gets an empty response when the
+// exchange sends a request and passes the response to done. done gets an empty response when the
 // time-out passes, the connection is reset or nothing listens at the address.
 func (w *World) exchange(from endpoint, r core.Request, done func(core.Response)) {
 	settled := false
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -24,7 +24,7 @@
 }
 
 // applyEvents applies those events that are newer than the last applied change of their key. Once
-// the replica is complete, it reports them to OnChange.
+// the mirror is complete, it reports them to OnChange.
 func (m *Mirror) applyEvents(events []api.Event) {
 	var t ChangeSet
 	for _, e := range events {
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -1,5 +1,5 @@
-// Package state is the client of the state service: transactions, leases, and a local replica of
-// all keys that a watch keeps up to date and that can be verified to be current on demand.
+// Package state is the client of the state service: transactions, leases, and the mirror, a local
+// replica of all keys that a watch updates and that can be confirmed fresh on demand.
 package state
 
 import (
@@ -70,8 +70,8 @@
 	txnTimeout = 1500 * time.Millisecond
 )
 
-// NewClient returns a client for one of nodes controllers, each of which gets an equal share of 90 %
-// of the limits.
+// NewClient returns a client for one of nodes controllers, each of which gets an equal share of
+// 90 % of the limits.
 func NewClient(loop core.Loop, call core.Caller, addr string, limits config.StateLimits, nodes int) *Client {
 	share := 0.9 / float64(nodes)
 	return &Client{
--- a/internal/state/dependencies.go
+++ b/internal/state/dependencies.go
@@ -10,7 +10,7 @@
 // Jobs may depend on other jobs, which must be done before any of their tasks starts. Whether a job
 // is ready, or cancelled because a dependency was, is not stored: both follow from the records of
 // its dependencies, which are final once those are finished. Hence one write cancels a job and all
-// its dependents, no state exists in which only some of them are cancelled, and an outdated replica
+// its dependents, no state exists in which only some of them are cancelled, and an outdated mirror
 // can only delay a start. A waiting job has not started, so no job that is cancelled this way can
 // have been done.
 //
@@ -148,8 +148,8 @@
 // milliseconds: a report, a record, a scheduling pass and a start command.
 const jobTransitionMS = 2000
 
-// addJob records that a job was changed. Duplicates are avoided only in short lists, since the search
-// is linear.
+// addJob records that a job was changed. Duplicates are avoided only in short lists, since the
+// search is linear.
 func (t *ChangeSet) addJob(id core.JobID) {
 	if n := len(t.Jobs); n > 32 || !slices.Contains(t.Jobs, id) {
 		t.Jobs = append(t.Jobs, id)
--- a/internal/state/edit.go
+++ b/internal/state/edit.go
@@ -27,8 +27,8 @@
 }
 
 // Edit returns an edit of at most ops parts. Machines added to the pool go to the parts of the
-// given stripe: the leader has stripe 0 and the holder of block n has stripe n+1, so that concurrent
-// releases do not conflict.
+// given stripe: the leader has stripe 0 and the holder of block n has stripe n+1, so that
+// concurrent releases do not conflict.
 func (m *Mirror) Edit(limits config.StateLimits, ops, stripe int) *Edit {
 	return &Edit{mirror: m, maxPartSize: min(limits.ValueBytes, maxPartBytes) - 64, partsLeft: ops, maxParts: limits.TxnOps - reservedWrites, bytesLeft: maxEditBytes, stripe: stripe, drafts: map[[2]int]*InventoryPart{}}
 }
@@ -115,8 +115,8 @@
 }
 
 // partWithSpace returns a draft with space for one more machine: a part that is written anyway,
-// else the first existing one of the stripe with space, else a new one. It returns nil if the limits
-// do not allow it.
+// else the first existing one of the stripe with space, else a new one. It returns nil if the
+// limits do not allow it.
 func (e *Edit) partWithSpace(inventory int, m *Machine) *InventoryPart {
 	parts := e.mirror.Inventory(inventory).parts
 	for _, key := range e.order {
--- a/internal/state/inventory_test.go
+++ b/internal/state/inventory_test.go
@@ -18,7 +18,7 @@
 	versions map[string]uint64
 }
 
-// apply executes a transaction if its conditions hold, and applies its events to the replica.
+// apply executes a transaction if its conditions hold, and applies its events to the mirror.
 func (s *txnStore) apply(m *Mirror, t api.Txn) bool {
 	for _, c := range t.If {
 		if s.versions[c.Key] != c.Version {
@@ -69,7 +69,7 @@
 			}
 		}
 		if len(txn.Then) > 0 && !store.apply(m, txn) {
-			t.Fatal("a transaction prepared from a current replica was not committed")
+			t.Fatal("a transaction prepared from a fresh mirror was not committed")
 		}
 	}
 	where := map[core.MachineID]int{}
@@ -166,7 +166,7 @@
 			}
 		}
 		if len(txn.Then) > 0 && !store.apply(m, txn) {
-			t.Fatal("a transaction prepared from a current replica was not committed")
+			t.Fatal("a transaction prepared from a fresh mirror was not committed")
 		}
 	}
 	for i := range fleet {
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -15,7 +15,7 @@
 	Version core.Revision
 }
 
-// mirrorPhase is the phase of the replica.
+// mirrorPhase is the phase of the mirror.
 type mirrorPhase int
 
 const (
@@ -54,11 +54,11 @@
 	// OnChange is called after a batch of events was applied, with the records that it changed.
 	OnChange func(ChangeSet)
 
-	freshAsOf       core.Time // the replica was complete up to this time or later
-	everFresh       bool
-	pendingProofs   []func(bool) // callbacks of ConfirmFresh that wait for the next proof
-	proofInFlight   bool         // a proof is requested or scheduled
-	revisionWaiters []revisionWaiter
+	freshAsOf            core.Time // confirmed fresh as of this time
+	everFresh            bool
+	pendingConfirmations []func(bool) // callbacks of ConfirmFresh that wait for the next confirmation
+	confirmationInFlight bool         // a confirmation is requested or scheduled
+	revisionWaiters      []revisionWaiter
 }
 
 // JobEntry is a job with those of its tasks that are durably recorded as done.
@@ -73,23 +73,23 @@
 }
 
 const (
-	watchTimeout = 5 * time.Second       // how long a watch waits for a change
-	watchPause   = 25 * time.Millisecond // minimum time between a response and the next watch
-	proofTimeout = 2 * time.Second       // how long the replica may take to reach a revision
-	// catchUpAfter is how long after a proof the watch may take to deliver the proven revision
-	// before a non-blocking watch is opened.
-	catchUpAfter     = time.Second
-	maxPendingProofs = 500 // calls of ConfirmFresh that may wait for the next proof
+	watchTimeout    = 5 * time.Second       // how long a watch waits for a change
+	watchPause      = 25 * time.Millisecond // minimum time between a response and the next watch
+	revisionTimeout = 2 * time.Second       // how long the mirror may take to reach a revision
+	// catchUpAfter is how long after a confirmation request is answered the watch may take to
+	// deliver its revision before a non-blocking watch is opened.
+	catchUpAfter            = time.Second
+	maxPendingConfirmations = 500 // calls of ConfirmFresh that may wait for the next confirmation
 )
 
-// NewMirror returns an empty replica; Start fills it.
+// NewMirror returns an empty mirror; Start fills it.
 func NewMirror(loop core.Loop, client *Client, log *slog.Logger) *Mirror {
 	m := &Mirror{loop: loop, client: client, log: log}
 	m.reset()
 	return m
 }
 
-// reset empties the replica, except for the jobs: their records are never removed.
+// reset empties the mirror, except for the jobs: their records are never removed.
 func (m *Mirror) reset() {
 	m.Leader, m.Term = Versioned[*Leader]{}, Versioned[TermCounter]{}
 	m.inventories, m.additions = map[int]*Inventory{}, Versioned[AdditionCounter]{}
@@ -118,7 +118,7 @@
 }
 
 // loadPage reads the keys after the key from, adds them to pages and, after the last page, replaces
-// the replica with all of them.
+// the mirror's content with all of them.
 func (m *Mirror) loadPage(from string, epoch int, pages []api.ItemPage) {
 	m.client.Page(root, from, func(p api.ItemPage, ok bool) {
 		if epoch != m.epoch {
@@ -196,7 +196,7 @@
 	})
 }
 
-// applyWatch applies a watch response. It holds all changes since a revision that the replica had
+// applyWatch applies a watch response. It holds all changes since a revision that the mirror had
 // reached, so a response that arrives after a newer one adds nothing.
 func (m *Mirror) applyWatch(revision core.Revision, events []api.Event) {
 	if revision < m.revision {
@@ -223,8 +223,8 @@
 }
 
 // Teams returns the configured teams and those that are no longer configured but still assigned to
-// a block. Jobs of the latter are served within their last limit and without a guarantee; otherwise
-// they would wait forever.
+// a block. Jobs of the latter are served within their team's last quota and without a guarantee;
+// otherwise they would wait forever.
 func (m *Mirror) Teams(configured []config.Team) []config.Team {
 	known := map[string]bool{}
 	for _, t := range configured {
@@ -261,5 +261,5 @@
 	return 0, false
 }
 
-// Complete reports whether the replica has once held all keys up to some revision.
+// Complete reports whether the mirror has once held all keys up to some revision.
 func (m *Mirror) Complete() bool { return m.complete }
--- a/internal/state/proof.go
+++ b/internal/state/proof.go
@@ -14,26 +14,26 @@
 	done     func(bool)
 }
 
-// HasReached reports whether the replica is complete up to a revision.
+// HasReached reports whether the mirror is complete up to a revision.
 func (m *Mirror) HasReached(r core.Revision) bool { return m.complete && m.revision >= r }
 
-// Revision returns the revision that the replica has reached.
+// Revision returns the revision that the mirror has reached.
 func (m *Mirror) Revision() core.Revision { return m.revision }
 
-// FreshAsOf returns the latest time up to which the replica is known to have been complete, and
-// false if freshness was never confirmed.
+// FreshAsOf returns the latest time as of which the mirror was confirmed fresh, and false if
+// it never was.
 func (m *Mirror) FreshAsOf() (core.Time, bool) { return m.freshAsOf, m.everFresh }
 
-// WaitFor calls done(true) once the replica has reached a revision, or done(false) after
-// proofTimeout.
+// WaitFor calls done(true) once the mirror has reached a revision, or done(false) after
+// revisionTimeout.
 func (m *Mirror) WaitFor(revision core.Revision, done func(bool)) {
 	if m.HasReached(revision) {
 		done(true)
 		return
 	}
-	deadline := m.loop.Now().Add(proofTimeout)
+	deadline := m.loop.Now().Add(revisionTimeout)
 	m.revisionWaiters = append(m.revisionWaiters, revisionWaiter{revision, deadline, done})
-	m.loop.After(proofTimeout, m.notifyWaiters)
+	m.loop.After(revisionTimeout, m.notifyWaiters)
 }
 
 // notifyWaiters calls back the waiters whose revision was reached or whose deadline has passed.
@@ -57,26 +57,26 @@
 	}
 }
 
-// ConfirmFresh calls done(true) once the replica shows everything that had been committed when
-// ConfirmFresh was called, or done(false) if that cannot be proven. Concurrent callers share one
-// proof: a request to the state service for a transaction without writes, whose revision the replica
-// must reach within proofTimeout.
+// ConfirmFresh calls done(true) once the mirror shows everything that had been committed when
+// ConfirmFresh was called, or done(false) if that cannot be confirmed. Concurrent callers share one
+// confirmation: a request to the state service for a transaction without writes, whose revision the
+// mirror must reach within revisionTimeout.
 func (m *Mirror) ConfirmFresh(done func(bool)) {
-	if len(m.pendingProofs) >= maxPendingProofs {
+	if len(m.pendingConfirmations) >= maxPendingConfirmations {
 		done(false)
 		return
 	}
-	m.pendingProofs = append(m.pendingProofs, done)
-	if !m.proofInFlight {
-		m.requestProof()
+	m.pendingConfirmations = append(m.pendingConfirmations, done)
+	if !m.confirmationInFlight {
+		m.requestConfirmation()
 	}
 }
 
-// requestProof reads the current revision for all pending proofs.
-func (m *Mirror) requestProof() {
-	callbacks := m.pendingProofs
-	m.pendingProofs = nil
-	m.proofInFlight = true
+// requestConfirmation reads the current revision for all pending confirmations.
+func (m *Mirror) requestConfirmation() {
+	callbacks := m.pendingConfirmations
+	m.pendingConfirmations = nil
+	m.confirmationInFlight = true
 	reply := func(ok bool) {
 		for _, f := range callbacks {
 			f(ok)
@@ -84,7 +84,7 @@
 	}
 	sentAt := core.Time(0)
 	m.client.readIndex(func() { sentAt = m.loop.Now() }, func(r Result) {
-		m.proofInFlight = false
+		m.confirmationInFlight = false
 		if r.Outcome == Applied || r.Outcome == Conflict {
 			m.WaitFor(r.Revision, func(ok bool) {
 				if ok && (!m.everFresh || sentAt > m.freshAsOf) {
@@ -96,9 +96,9 @@
 		} else {
 			reply(false)
 		}
-		if len(m.pendingProofs) > 0 && !m.proofInFlight {
-			m.proofInFlight = true
-			m.loop.After(m.client.ReadInterval(), m.requestProof)
+		if len(m.pendingConfirmations) > 0 && !m.confirmationInFlight {
+			m.confirmationInFlight = true
+			m.loop.After(m.client.ReadInterval(), m.requestConfirmation)
 		}
 	})
 }
@@ -106,9 +106,9 @@
 // catchUp requests the changes up to a revision that the watch has not delivered. Its connection
 // may hang, or there may be no change to deliver: a transaction that is executed late and changes
 // nothing can raise the revision, and a blocking watch then responds only when its timeout ends.
-// When a watch was reopened after every failed proof, none lived that long, and no controller could
-// answer requests until another key was written. So this watch does not block, and is not replaced
-// until it is answered.
+// When a watch was reopened after every failed confirmation, none lived that long, and no
+// controller could answer requests until another key was written. So this watch does not block, and
+// is not replaced until it is answered.
 func (m *Mirror) catchUp(to core.Revision) {
 	if m.HasReached(to) || m.phase != watching || m.catchingUp {
 		return
--- a/internal/state/queue.go
+++ b/internal/state/queue.go
@@ -19,9 +19,9 @@
 
 // weights are the shares of reads, writes and background writes when the request rate does not
 // suffice for all. Strict priority for reads starved the others: every change caused a response to
-// the watch and every poll a proof, and where the service allows few requests per second these two
-// used all of them. Submissions were refused for a minute and completed tasks were not recorded
-// (docs/incidents/inc-b616.md).
+// the watch and every poll a confirmation of freshness, and where the service allows few requests
+// per second these two used all of them. Submissions were refused for a minute and completed tasks
+// were not recorded (docs/incidents/inc-b616.md).
 var weights = [classCount]float64{classRead: 3, classWrite: 3, classBackground: 1}
 
 type queuedRequest struct {
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -87,7 +87,7 @@
 	Draining bool `json:"asked,omitempty"`
 	// ReturnRequested: the block's holder wants the machine to be returned to the cloud.
 	ReturnRequested bool `json:"lost,omitempty"`
-	// Expiring: the cloud is taking the machine back, or its lease has run out; it does not count
+	// Expiring: the cloud is reclaiming the machine, or its lease has run out; it does not count
 	// as capacity.
 	Expiring bool `json:"doomed,omitempty"`
 	// Since is the wall time at which the machine was rented or first seen.
@@ -122,12 +122,12 @@
 	Term core.Term `json:"term"`
 	// Teams lists the teams whose jobs run in the block.
 	Teams []string `json:"teams"`
-	// Limits holds the last limit of each team by its name, for teams that are no longer
+	// Limits holds the last quota of each team by its name, for teams that are no longer
 	// configured.
 	Limits map[string]Limit `json:"limits,omitempty"`
 }
 
-// Limit is the maximum of resources that a team may use at any time.
+// Limit is the quota of a team: the maximum of resources that it may use at any time.
 type Limit struct {
 	CPUs float64 `json:"cpus"`
 	GPUs float64 `json:"gpus,omitempty"`
@@ -150,7 +150,7 @@
 )
 
 // Job is the record of a job. Spec is dropped when the job is finished. The resources of a task are
-// kept, since tasks of a cancelled job count against the team's limit until they are gone.
+// kept, since tasks of a cancelled job count against the team's quota until they are released.
 type Job struct {
 	Phase      JobPhase      `json:"phase"`
 	Tasks      int           `json:"tasks"`
--- a/internal/state/watch_test.go
+++ b/internal/state/watch_test.go
@@ -98,47 +98,47 @@
 	m.Start()
 	loop.run(time.Second)
 	if !m.Complete() {
-		t.Fatal("the replica is not complete after 1 s")
+		t.Fatal("the mirror is not complete after 1 s")
 	}
 	return m, loop
 }
 
 // A transaction that is executed late can raise the revision without changing anything; a blocking
 // watch then stays silent until its timeout ends. When watches were reopened after every failed
-// proof, before that timeout, no proof succeeded until another key was written.
+// confirmation, before that timeout, no confirmation succeeded until another key was written.
 func TestRevisionWithoutChangeIsReached(t *testing.T) {
 	m, loop := newWatchedMirror(t)
 	loop.run(6 * time.Second)
 	loop.revision++
-	proven, failed := 0, 0
+	confirmed, failed := 0, 0
 	for range 20 {
 		m.ConfirmFresh(func(ok bool) {
 			if ok {
-				proven++
+				confirmed++
 			} else {
 				failed++
 			}
 		})
 		loop.run(time.Second)
 	}
-	if failed > 0 || proven < 18 {
-		t.Fatalf("%d of 20 proofs succeeded and %d failed, want at least 18 and 0", proven, failed)
+	if failed > 0 || confirmed < 18 {
+		t.Fatalf("%d of 20 confirmations succeeded and %d failed, want at least 18 and 0", confirmed, failed)
 	}
 }
 
 // If responses take longer than catchUpAfter, the first watch's response still counts although a
-// second one has been opened, and a response older than the replica changes nothing.
+// second one has been opened, and a response older than the mirror changes nothing.
 func TestResponseToAbandonedWatchIsApplied(t *testing.T) {
 	m, loop := newWatchedMirror(t)
 	loop.run(3 * time.Second)
 	loop.delay = 1500 * time.Millisecond
 	loop.revision++
 	loop.events = append(loop.events, api.Event{Set: KeyTerm, Value: Put("", TermCounter{Last: 7}).Value, Version: loop.revision})
-	proven := false
-	m.ConfirmFresh(func(ok bool) { proven = ok })
+	confirmed := false
+	m.ConfirmFresh(func(ok bool) { confirmed = ok })
 	loop.run(1900 * time.Millisecond)
-	if !proven || m.Term.Record.Last != 7 {
-		t.Fatalf("proof succeeded: %v, term %d; want true, 7", proven, m.Term.Record.Last)
+	if !confirmed || m.Term.Record.Last != 7 {
+		t.Fatalf("confirmed fresh: %v, term %d; want true, 7", confirmed, m.Term.Record.Last)
 	}
 	m.applyWatch(core.Revision(loop.revision-1), []api.Event{{Set: KeyTerm, Value: Put("", TermCounter{Last: 3}).Value, Version: 90}})
 	if m.Term.Record.Last != 7 || !m.HasReached(core.Revision(loop.revision)) {
