--- a/internal/sim/checkserved.go
+++ b/internal/sim/checkserved.go
@@ -6,10 +6,10 @@
 	"lichenstair/internal/core"
 )
 
-// Served checks that no class, no team and no class's largest jobs were starved:
+// CheckStarvation checks that no class, no team and no class's largest jobs were starved:
 // at least half of each must have begun, the largest within four minutes of
 // their acceptance or of the end of the troubles.
-func (c *Checker) Served() {
+func (c *Checker) CheckStarvation() {
 	type count struct{ all, served int }
 	counts := map[string]*count{}
 	add := func(group string, served bool) {
@@ -23,7 +23,7 @@
 	}
 	sizes := map[string][]float64{}
 	size := func(j *watched) float64 { return float64(j.spec.Tasks) * j.spec.CPUs }
-	since := func(j *watched) Clock {
+	since := func(j *watched) SimTime {
 		at, _ := c.mayRun(j)
 		return max(j.told, c.calm, at)
 	}
@@ -56,10 +56,10 @@
 	}
 }
 
-// Room tells which machines have room for a task of a job that its team may still start.
+// FreeMachines tells which machines have room for a task of a job that its team may still start.
 // It is told every few seconds once all troubles are over. A machine counts if it has had
 // room for the job all the time.
-func (c *Checker) Room(id string, machines []string) {
+func (c *Checker) FreeMachines(id string, machines []string) {
 	j := c.jobs[id]
 	if j == nil {
 		return
@@ -67,7 +67,7 @@
 	if _, may := c.mayRun(j); !may || !j.accepted || c.cancelWanted(id) || j.hopeless || j.final != "" || j.on > 0 || len(j.done) == j.spec.Tasks {
 		machines = nil
 	}
-	beside := map[string]Clock{}
+	beside := map[string]SimTime{}
 	for _, m := range machines {
 		beside[m] = c.now
 		if since, ok := j.beside[m]; ok {
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -17,16 +17,16 @@
 
 // Host is the place of a controller; its process comes and goes.
 type Host struct {
-	w    *World
-	name core.Host
-	addr string
-	rate float64 // of its steady clock
-	proc *process
-	Ends int
-	// Previous: its process is of the version before: it keeps the limits it knows, writes
+	w     *World
+	name  core.Host
+	addr  string
+	rate  float64 // of its steady clock
+	proc  *process
+	Kills int
+	// PreviousVersion: its process is of the version before: it keeps the limits it knows, writes
 	// no field and passes over frames that it does not know.
-	Previous bool
-	stall    Clock // nothing runs before
+	PreviousVersion bool
+	stall           SimTime // nothing runs before
 
 	healthy, lastGood bool // to the load balancer
 }
@@ -38,7 +38,7 @@
 // process is one run of a controller; it is the Loop and the Caller of its node.
 type process struct {
 	h       *Host
-	started Clock
+	started SimTime
 	node    *node.Node
 	dead    bool
 	// Calls to workers on their way and requests not yet answered, with the
@@ -54,11 +54,11 @@
 	if h.proc != nil {
 		return
 	}
-	p := &process{h: h, started: h.w.now, previous: h.Previous}
+	p := &process{h: h, started: h.w.now, previous: h.PreviousVersion}
 	h.proc = p
 	cfg := h.w.Cfg
 	if p.previous {
-		cfg.StateLim = h.w.PreviousLim
+		cfg.StateLim = h.w.PreviousLimits
 	}
 	cfg.Host = h.name
 	for _, o := range h.w.Hosts {
@@ -77,14 +77,14 @@
 	if h.proc != nil {
 		h.proc.dead = true
 		h.proc = nil
-		h.Ends++
+		h.Kills++
 	}
 }
 
 // Restart ends the controller and starts it again after a while.
 func (h *Host) Restart(after time.Duration) {
 	h.Kill()
-	h.w.In(after, h.Start)
+	h.w.After(after, h.Start)
 }
 
 // Stall keeps the controller from running for a while: timers fire late, and
@@ -107,7 +107,7 @@
 func (p *process) Wall() core.Wall { return Epoch + core.Wall(p.h.w.now.Milliseconds()) }
 
 func (p *process) After(d time.Duration, f func()) {
-	p.h.w.In(time.Duration(float64(max(d, 0))/p.h.rate)+time.Millisecond, func() { p.do(f) })
+	p.h.w.After(time.Duration(float64(max(d, 0))/p.h.rate)+time.Millisecond, func() { p.do(f) })
 }
 
 func (p *process) Call(r core.Request, done func(core.Response)) {
@@ -174,7 +174,7 @@
 // probe asks for the controller's health about once a second, as the load
 // balancer does: twice in a row decides.
 func (h *Host) probe() {
-	h.w.In(time.Second, h.probe)
+	h.w.After(time.Second, h.probe)
 	h.w.exchange("users", core.Request{Addr: h.addr, Method: "GET", Path: "/ready", Timeout: time.Second}, func(res core.Response) {
 		good := res.Status == 200
 		if good == h.lastGood {
--- a/internal/sim/keptreports.go
+++ b/internal/sim/keptreports.go
@@ -9,7 +9,7 @@
 // keptReports holds a copy of one report of each machine.
 type keptReports struct {
 	keeping bool
-	until   Clock
+	until   SimTime
 	reports map[party]core.Request
 }
 
@@ -26,7 +26,7 @@
 // again delivers a copy of a request after so many seconds. Its sender may be
 // gone by then, and the receiver another process; nobody gets the answer.
 func (w *World) again(from party, r core.Request, seconds float64) {
-	w.In(time.Duration(seconds*float64(time.Second)), func() {
+	w.After(time.Duration(seconds*float64(time.Second)), func() {
 		if _, h := w.route(r.Addr); h != nil {
 			h(from, r, func(core.Response) {})
 		}
@@ -45,11 +45,11 @@
 	}
 }
 
-// KeepReports keeps a copy of the next report of each machine. As soon as there is a new
+// ReplayReportsToNewLeader keeps a copy of the next report of each machine. As soon as there is a new
 // leader, all of them reach every controller.
-func (w *World) KeepReports() {
+func (w *World) ReplayReportsToNewLeader() {
 	w.kept = keptReports{keeping: true, reports: map[party]core.Request{}}
-	w.State.Led = func(core.Host) {
+	w.State.OnLeaderElected = func(core.Host) {
 		if w.kept.keeping {
 			w.kept.keeping = false
 			w.deliverKept(0.05, 1.5)
@@ -57,12 +57,12 @@
 	}
 }
 
-// KeepReportsForHolders keeps a copy of the next report of each machine. With every grant of
+// ReplayReportsOnGrant keeps a copy of the next report of each machine. With every grant of
 // a block during d, all of them reach every controller within milliseconds: some before it
 // knows of the grant, some before the machines have answered the new holder's questions.
-func (w *World) KeepReportsForHolders(d time.Duration) {
+func (w *World) ReplayReportsOnGrant(d time.Duration) {
 	w.kept = keptReports{keeping: true, until: w.now + d, reports: map[party]core.Request{}}
-	w.State.Granted = func() {
+	w.State.OnBlockGranted = func() {
 		if w.now < w.kept.until {
 			w.deliverKept(0, 0.006)
 		}
--- a/internal/sim/worker.go
+++ b/internal/sim/worker.go
@@ -24,26 +24,26 @@
 	zone        string
 	spot        bool
 	phase       machinePhase
-	rented      Clock
-	up          Clock
-	ended       Clock
+	rented      SimTime
+	up          SimTime
+	ended       SimTime
 	rate        float64
 	Faulty      bool
-	hung        Clock
-	reportsLost Clock    // it reaches no controller before
+	hung        SimTime
+	reportsLost SimTime  // it reaches no controller before
 	waits       []func() // what came while it hung
 
 	wasted   int // answers with starts that did not arrive
 	season   uint64
 	tally    uint64
 	warrant  uint64
-	answered Clock // when the last answered report was sent
+	answered SimTime // when the last answered report was sent
 	node     int
 	busy     bool
-	last     Clock
-	due      Clock
+	last     SimTime
+	due      SimTime
 	dueSeq   int
-	notice   Clock
+	notice   SimTime
 	images   map[string]bool
 	tasks    map[taskKey]*task
 }
@@ -57,7 +57,7 @@
 
 // in runs f after d of the machine's own clock, once the machine does not hang.
 func (m *Machine) in(d time.Duration, f func()) {
-	m.w.In(time.Duration(float64(d)/m.rate), func() { m.act(f) })
+	m.w.After(time.Duration(float64(d)/m.rate), func() { m.act(f) })
 }
 
 func (m *Machine) act(f func()) {
@@ -102,8 +102,8 @@
 	})
 }
 
-// Die stops the machine with all that is on it.
-func (m *Machine) Die() { m.end(machineDead) }
+// Crash stops the machine with all that is on it.
+func (m *Machine) Crash() { m.end(machineDead) }
 
 func (m *Machine) end(p machinePhase) {
 	if m.phase == machineUp {
@@ -112,17 +112,17 @@
 	m.phase, m.ended = p, m.w.now
 }
 
-// Notice tells the machine that it will be taken.
-func (m *Machine) Notice(in time.Duration) {
+// NotifyReclaim tells the machine that it will be taken.
+func (m *Machine) NotifyReclaim(in time.Duration) {
 	m.notice = m.w.now + in
 	m.act(func() { m.report(500 * time.Millisecond) })
-	m.w.In(in, func() { m.w.Cloud.Take(m) })
+	m.w.After(in, func() { m.w.Cloud.Reclaim(m) })
 }
 
 // watchLease ends tasks by their lease. A machine that hangs executes nothing
 // once its lease is over, so its tasks count as gone from then on as well.
 func (m *Machine) watchLease() {
-	m.w.In(200*time.Millisecond, func() {
+	m.w.After(200*time.Millisecond, func() {
 		if m.phase == machineUp {
 			m.checkLease()
 			m.watchLease()
@@ -134,7 +134,7 @@
 	if m.phase == machineUp && time.Duration(float64(m.w.now-m.answered)*m.rate) > m.w.Cfg.Workers.Lease {
 		for _, t := range m.tasks {
 			if t.state != api.TaskExited {
-				m.w.LeaseKills++
+				m.w.LeaseExpiredTasks++
 			}
 		}
 		m.dropAll()
