--- a/cmd/lichenstair/main.go
+++ b/cmd/lichenstair/main.go
@@ -103,11 +103,11 @@
 	if least := config.LeastSockets(len(cfg.Peers)); cfg.Limits.Sockets < least {
 		log.Warn("fd_limit is too small: connections will fail, and workers go to other controllers", "fd_limit", cfg.Limits.Sockets, "least", least)
 	}
-	loop := core.NewLoop(conns)
+	loop := core.NewEventLoop(conns)
 	call := httpcall.New(loop, calls, cfg.State, cfg.Cloud)
 	rnd := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	var n *node.Node
-	lines := peer.NewTransport(cfg.Peers, func(frame []byte) { loop.Post(func() { n.Peer(frame) }) }, log)
+	lines := peer.NewTransport(cfg.Peers, func(frame []byte) { loop.Post(func() { n.HandleFrame(frame) }) }, log)
 	n = node.New(cfg, loop, call, lines.Broadcast, log, rnd)
 	server := frontend.New(loop, n, log, conns)
 	log.Info("serving", "bind", cfg.Bind, "version", version, "connections", conns, "calls", calls, "memory_mb", cfg.Limits.MemoryBytes>>20)
--- a/internal/block/answers.go
+++ b/internal/block/answers.go
@@ -12,13 +12,13 @@
 // later; done(_, false) means that the machine is not ours to answer.
 func (h *Holder) Report(rep *api.Report, done func(api.ReportAnswer, bool)) {
 	m := h.machines[core.MachineID(rep.Machine)]
-	if m == nil || m.floor == ^core.Season(0) {
+	if m == nil || m.floor == ^core.Session(0) {
 		done(api.ReportAnswer{}, false)
 		return
 	}
 	now := h.Loop.Now()
 	if refusal := h.refusal(m, rep, now); refusal != "" {
-		h.noteMessage(m, fromReport, refusal, core.Season(rep.Season), core.Tally(rep.Tally))
+		h.noteMessage(m, fromReport, refusal, core.Session(rep.Season), core.Sequence(rep.Tally))
 		done(api.ReportAnswer{}, false)
 		return
 	}
@@ -106,7 +106,7 @@
 // flushReady answers the reports for which there is something to say by now, and
 // asks for those that are far away.
 func (h *Holder) flushReady() {
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		m := h.machines[id]
 		if m.held == nil {
 			h.prompt(m)
--- a/internal/block/attempts.go
+++ b/internal/block/attempts.go
@@ -74,7 +74,7 @@
 
 // checkGangs stops what is left of gangs of which recovery found only a part.
 func (h *Holder) checkGangs() {
-	for _, id := range core.Keys(h.jobs) {
+	for _, id := range core.SortedKeys(h.jobs) {
 		h.checkGang(h.jobs[id])
 	}
 }
--- a/internal/block/attemptset.go
+++ b/internal/block/attemptset.go
@@ -67,7 +67,7 @@
 
 // all lists the attempts by task, the newest first.
 func (a *attemptSet) all() (out []*slot) {
-	for _, task := range core.Keys(a.byTask) {
+	for _, task := range core.SortedKeys(a.byTask) {
 		out = append(out, a.byTask[task]...)
 	}
 	return out
--- a/internal/block/candidates.go
+++ b/internal/block/candidates.go
@@ -43,8 +43,8 @@
 	for _, t := range h.Mirror.Teams(h.Config.Teams) {
 		team := teams[t.Name]
 		cpus := min(max(have[t.Name]+free, t.CPUs), t.CPUsMax-(team.Used.CPUs-have[t.Name]))
-		placement.Defer(h.Loop.Wall(), cpus, running[t.Name], timed[t.Name])
-		placement.OrderByDue(h.Loop.Wall(), cpus, running[t.Name], timed[t.Name])
+		placement.Defer(h.Loop.WallNow(), cpus, running[t.Name], timed[t.Name])
+		placement.OrderByDue(h.Loop.WallNow(), cpus, running[t.Name], timed[t.Name])
 	}
 }
 
@@ -67,7 +67,7 @@
 func (h *Holder) candidates(now core.Time) (out []*placement.Job) {
 	guarantees := capacity.NewGuarantees(h.Config.Teams)
 	zones := h.zones()
-	wall := h.Loop.Wall()
+	wall := h.Loop.WallNow()
 	for _, j := range h.readyJobs() {
 		guaranteed := guarantees.AddJob(j.spec.Team, j.need.CPUs*float64(j.spec.Tasks-j.done.Len()))
 		j.noteWait(now, time.Duration(wall-j.at)*time.Millisecond)
@@ -99,7 +99,7 @@
 }
 
 // candidate describes a job with waiting tasks for the placement.
-func (h *Holder) candidate(j *job, now core.Time, wall core.Wall, guaranteed bool) *placement.Job {
+func (h *Holder) candidate(j *job, now core.Time, wall core.WallTime, guaranteed bool) *placement.Job {
 	p := placement.NewJob(j.id, j.at, j.spec)
 	p.Rank, p.Waiting, p.Guaranteed = j.rank, j.waiting(), guaranteed
 	p.ExcludedMachines = h.avoided(j, now)
--- a/internal/block/failures.go
+++ b/internal/block/failures.go
@@ -55,7 +55,7 @@
 // acquit notes that a job has completed its first task: where it failed, the machine
 // was to blame.
 func (h *Holder) acquit(j *job) {
-	for _, id := range core.Keys(j.failed) {
+	for _, id := range core.SortedKeys(j.failed) {
 		if m := h.machines[id]; m != nil {
 			h.failed(m)
 		}
--- a/internal/block/follow.go
+++ b/internal/block/follow.go
@@ -41,7 +41,7 @@
 		}
 		m.up, m.asked, m.lost, m.term = r.Up, r.Asked, r.Lost, max(m.term, r.Term)
 	}
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		m := h.machines[id]
 		if !listed[id] {
 			if !m.empty() {
@@ -57,7 +57,7 @@
 			// The cloud has answered 200 to its return: it and all on it are gone.
 			h.clearMachine(m, releaseReturned)
 			h.moveMachine(m, lapsed)
-			m.floor = ^core.Season(0)
+			m.floor = ^core.Session(0)
 		}
 	}
 }
@@ -150,8 +150,8 @@
 	h.jobs[id] = j
 	h.Log.Info("job to place",
 		"job", id, "class", j.spec.Class, "team", j.spec.Team, "form", j.spec.Form, "tasks", j.spec.Tasks, "cpus", j.spec.CPUs, "memory_gb", j.spec.MemoryGB,
-		"spot", j.spec.Spot, "image", j.spec.Image, "estimate_s", j.spec.EstimateS, "age_ms", h.Loop.Wall()-j.at)
-	for _, machineID := range core.Keys(h.machines) {
+		"spot", j.spec.Spot, "image", j.spec.Image, "estimate_s", j.spec.EstimateS, "age_ms", h.Loop.WallNow()-j.at)
+	for _, machineID := range core.SortedKeys(h.machines) {
 		for _, s := range h.machines[machineID].list() {
 			if s.task.Job == id && s.booked() && s.task.Index < j.spec.Tasks {
 				j.attempts.add(s)
@@ -162,7 +162,7 @@
 }
 
 // without returns the task numbers of a set that are not in another.
-func without(set, other core.Set) (out core.Set) {
+func without(set, other core.IndexSet) (out core.IndexSet) {
 	for i := set.NextIn(0); i >= 0; i = set.NextIn(i + 1) {
 		if !other.Has(i) {
 			out.Add(i)
--- a/internal/block/hints.go
+++ b/internal/block/hints.go
@@ -8,19 +8,19 @@
 
 // Hint tells the other controllers how the block stands.
 func (h *Holder) Hint() peer.BlockHint {
-	hint := peer.BlockHint{Number: h.number, Granted: h.term, Placing: h.state == placing}
+	hint := peer.BlockHint{Number: h.number, Term: h.term, Placing: h.state == placing}
 	for _, j := range h.jobs {
-		hint.Waiting += max(j.waiting(), 0)
+		hint.WaitingTasks += max(j.waiting(), 0)
 	}
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		switch m := h.machines[id]; {
 		case m.state == live:
-			hint.Live++
+			hint.LiveMachines++
 			if m.empty() {
-				hint.Idle = append(hint.Idle, id)
+				hint.IdleMachines = append(hint.IdleMachines, id)
 			}
 		case m.state == silent || m.state == unsure || m.state == lapsed && m.up:
-			hint.Silent++
+			hint.SilentMachines++
 		}
 	}
 	return hint
@@ -28,7 +28,7 @@
 
 // RunningHints tells the other controllers what runs in the block, for display.
 func (h *Holder) RunningHints() (out []peer.RunningHint) {
-	for _, id := range core.Keys(h.jobs) {
+	for _, id := range core.SortedKeys(h.jobs) {
 		if n := h.Running(id); n > 0 {
 			out = append(out, peer.RunningHint{Job: id, Tasks: n})
 		}
@@ -38,7 +38,7 @@
 
 // Failing lists the jobs that are tried one task at a time.
 func (h *Holder) Failing() (out []core.JobID) {
-	for _, id := range core.Keys(h.jobs) {
+	for _, id := range core.SortedKeys(h.jobs) {
 		if h.jobs[id].probing() {
 			out = append(out, id)
 		}
--- a/internal/block/holder.go
+++ b/internal/block/holder.go
@@ -99,7 +99,7 @@
 	h.Log = env.Log.With("block", rec.Number)
 	h.Log.Info("block granted to us", "term", rec.Term, "machines", h.Mirror.Inventory(rec.Number).Len(), "teams", rec.Teams, "revision", h.Mirror.Revision(), "proven_ago", h.sinceProof().String())
 	h.follow(rec)
-	for _, id := range core.Keys(h.Mirror.Jobs) {
+	for _, id := range core.SortedKeys(h.Mirror.Jobs) {
 		h.followJob(id)
 	}
 	h.become(recovering)
@@ -131,7 +131,7 @@
 // Release ends the holding.
 func (h *Holder) Release() {
 	h.become(released)
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		h.flush(h.machines[id])
 	}
 }
@@ -140,7 +140,7 @@
 // service: a cancellation accepted elsewhere must still take effect in time,
 // which needs the workers' leases to run out before its deadline.
 func maxSilence(w config.Workers) time.Duration {
-	return w.Cancel - w.Lease - 2*margin - time.Duration(float64(w.Cancel)*2*core.Drift) - time.Second
+	return w.Cancel - w.Lease - 2*margin - time.Duration(float64(w.Cancel)*2*core.MaxClockDrift) - time.Second
 }
 
 // Entitled tells whether we may still answer workers.
@@ -192,7 +192,7 @@
 	w := h.Config.Workers
 	quiet := h.quiet()
 	sole := h.sole()
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		m := h.machines[id]
 		if (!m.fenced && m.state != lapsed || m.unreachable && m.state == live) && now >= m.askNext {
 			h.fence(m)
@@ -201,7 +201,7 @@
 			h.moveMachine(m, silent)
 			h.cancelPlans(m)
 		}
-		if (m.state == live || m.state == silent || m.state == unsure) && sole > m.answer.Add(core.Stretch(w.Lease)+margin) {
+		if (m.state == live || m.state == silent || m.state == unsure) && sole > m.answer.Add(core.WithDrift(w.Lease)+margin) {
 			// The lease counts from the sending of the last answered report, which
 			// was before our answer; and until sole, nobody else can have answered.
 			// By our clock alone it is not sure: after a halt, or without the state
--- a/internal/block/job.go
+++ b/internal/block/job.go
@@ -12,16 +12,16 @@
 // job is an unfinished job of a team of the block.
 type job struct {
 	id      core.JobID
-	at      core.Wall // since when it may run
-	sent    core.Wall // when it was submitted
-	blocked bool      // a job that it depends on is not done yet
-	due     core.Wall // by when jobs that need it want it done; 0: any time
+	at      core.WallTime // since when it may run
+	sent    core.WallTime // when it was submitted
+	blocked bool          // a job that it depends on is not done yet
+	due     core.WallTime // by when jobs that need it want it done; 0: any time
 	spec    *api.Job
 	rank    int
 	seen    bool // a task of it has been seen on a machine
 	need    placement.Resources
-	done    core.Set // known done, durable or not
-	pending core.Set // done, not yet durable
+	done    core.IndexSet // known done, durable or not
+	pending core.IndexSet // done, not yet durable
 	// attempts is all that is known of where its tasks may be.
 	attempts attemptSet
 	cursor   int   // tasks below are or were started, or done
--- a/internal/block/machine.go
+++ b/internal/block/machine.go
@@ -43,9 +43,9 @@
 	// lowering is the same for a write that calls the machine unused.
 	lowering core.Revision
 
-	season      core.Season
-	tally       core.Tally
-	floor       core.Season // reports of this season and before are dead
+	season      core.Session
+	tally       core.Sequence
+	floor       core.Session // reports of this season and before are dead
 	fenced      bool
 	unheard     core.Time // since when it is answered without showing our term
 	unreachable bool      // it reports, but what we say does not reach it
--- a/internal/block/pass.go
+++ b/internal/block/pass.go
@@ -85,7 +85,7 @@
 	for _, t := range h.Mirror.Teams(h.Config.Teams) {
 		teams[t.Name] = &placement.Team{Quota: placement.Resources{CPUs: t.CPUsMax, GPUs: t.GPUsMax}}
 	}
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		for _, s := range h.machines[id].list() {
 			if team := teams[s.team]; team != nil && s.booked() {
 				team.Used = team.Used.Add(s.need)
@@ -97,7 +97,7 @@
 
 // machinesNow describes the machines on which something can be started.
 func (h *Holder) machinesNow(now core.Time, kept capacity.GangKinds) (out []*placement.Machine) {
-	for _, id := range core.Keys(h.machines) {
+	for _, id := range core.SortedKeys(h.machines) {
 		if m := h.machines[id]; h.usable(m) {
 			out = append(out, h.describe(m, now, kept))
 		}
--- a/internal/block/preempt.go
+++ b/internal/block/preempt.go
@@ -169,7 +169,7 @@
 	}
 	if own := h.jobs[j.ID]; !j.Gang && !j.Guaranteed && len(j.Timing.Due) > 0 {
 		live := own.live()
-		n = min(n, capacity.Concurrency(own.spec.Tasks-own.done.Len(), j.Estimate, time.Duration(j.Timing.Due[0]-h.Loop.Wall())*time.Millisecond)-live)
+		n = min(n, capacity.Concurrency(own.spec.Tasks-own.done.Len(), j.Estimate, time.Duration(j.Timing.Due[0]-h.Loop.WallNow())*time.Millisecond)-live)
 	}
 	room := t.Quota.Sub(t.Used)
 	if j.Gang {
--- a/internal/block/reasons.go
+++ b/internal/block/reasons.go
@@ -71,7 +71,7 @@
 func (r releaseReason) lost() bool { return r != releaseNotShown && r != releasePlanDropped }
 
 // noteMessage counts a worker's message and logs what became of it.
-func (h *Holder) noteMessage(m *machine, from source, result messageResult, season core.Season, tally core.Tally) {
+func (h *Holder) noteMessage(m *machine, from source, result messageResult, season core.Session, tally core.Sequence) {
 	h.Metrics.Reports.WithLabelValues(string(from), string(result)).Inc()
 	if result != messageTaken {
 		h.Log.Debug("message of a worker is not taken in", "machine", m.id, "source", from, "result", result, "season", season, "tally", tally, "known_season", m.season, "known_tally", m.tally)
--- a/internal/block/reports.go
+++ b/internal/block/reports.go
@@ -15,8 +15,8 @@
 // answered: copies that kept coming put off the time at which the lease of a
 // dead machine had surely run out.
 func (h *Holder) lateCopy(m *machine, rep *api.Report, now core.Time) bool {
-	return m.season > 0 && !core.Newer(core.Season(rep.Season), core.Tally(rep.Tally), m.season, m.tally) &&
-		now > m.heard.Add(core.Stretch(answerDrop)+margin)
+	return m.season > 0 && !core.Newer(core.Session(rep.Season), core.Sequence(rep.Tally), m.season, m.tally) &&
+		now > m.heard.Add(core.WithDrift(answerDrop)+margin)
 }
 
 // expected estimates how long a task will be on a machine.
@@ -38,7 +38,7 @@
 // whether the message was news.
 func (h *Holder) take(m *machine, rep *api.Report, from evidence) bool {
 	now := h.Loop.Now()
-	season, tally := core.Season(rep.Season), core.Tally(rep.Tally)
+	season, tally := core.Session(rep.Season), core.Sequence(rep.Tally)
 	if season <= m.floor || !core.Newer(season, tally, m.season, m.tally) {
 		h.noteMessage(m, from.source, messageOld, season, tally)
 		return false
@@ -111,7 +111,7 @@
 			if (view.State == api.TaskExited) != exited {
 				continue
 			}
-			id, err := core.ParseTask(view.Task)
+			id, err := core.ParseTaskID(view.Task)
 			if err != nil {
 				continue
 			}
@@ -138,10 +138,10 @@
 // executed. A start sent in an answer is settled by the next report, since a worker has one
 // report in flight; a direct message says so only once the answer would have been dropped.
 func (h *Holder) startSettled(s *slot, rep *api.Report, from evidence) bool {
-	if from.source == fromReport && core.Newer(core.Season(rep.Season), core.Tally(rep.Tally), s.sentSeason, s.sentTally) {
+	if from.source == fromReport && core.Newer(core.Session(rep.Season), core.Sequence(rep.Tally), s.sentSeason, s.sentTally) {
 		return true
 	}
-	return from.asked > s.sentAt.Add(core.Stretch(answerDrop)+margin)
+	return from.asked > s.sentAt.Add(core.WithDrift(answerDrop)+margin)
 }
 
 // setUnreachable notes whether what we say reaches a machine. One that reports but does
--- a/internal/block/rounds.go
+++ b/internal/block/rounds.go
@@ -28,9 +28,9 @@
 func (h *Holder) writeDone(t *api.Txn) {
 	room := h.batch() - len(t.Then)
 	size := 0
-	round := state.Round{Done: map[core.JobID]core.Set{}}
+	round := state.Round{Done: map[core.JobID]core.IndexSet{}}
 	limit := h.Config.StateLim.ValueBytes - valueMargin
-	for _, id := range core.Keys(h.jobs) {
+	for _, id := range core.SortedKeys(h.jobs) {
 		j, e := h.jobs[id], h.Mirror.Jobs[id]
 		if e == nil || e.Over() || j.pending.Empty() && j.done.Len() < j.spec.Tasks {
 			continue
@@ -64,7 +64,7 @@
 // writeEnd adds the final phase of a job that is complete.
 func (h *Holder) writeEnd(t *api.Txn, id core.JobID, e *state.JobEntry) {
 	t.If = append(t.If, api.Condition{Key: state.KeyJob(id), Version: uint64(e.Version)})
-	t.Then = append(t.Then, state.Put(state.KeyJob(id), e.Job.End(state.JobDone, h.Loop.Wall())))
+	t.Then = append(t.Then, state.Put(state.KeyJob(id), e.Job.End(state.JobDone, h.Loop.WallNow())))
 }
 
 // writeRound adds a round under a name that is not used again.
@@ -74,7 +74,7 @@
 }
 
 // entrySize is about what a job's tasks take in a round.
-func entrySize(id core.JobID, tasks core.Set) int {
+func entrySize(id core.JobID, tasks core.IndexSet) int {
 	raw, _ := json.Marshal(tasks)
 	return len(raw) + len(id) + entryOverhead
 }
@@ -88,8 +88,8 @@
 	}
 	removed, size := 0, 0
 	limit := h.Config.StateLim.ValueBytes - valueMargin
-	merged := state.Round{Done: map[core.JobID]core.Set{}}
-	for _, key := range core.Keys(rounds) {
+	merged := state.Round{Done: map[core.JobID]core.IndexSet{}}
+	for _, key := range core.SortedKeys(rounds) {
 		if removed >= min(room-1, maxPruned) {
 			break
 		}
@@ -116,8 +116,8 @@
 }
 
 // openEntries returns what a round says of jobs that are not over.
-func (h *Holder) openEntries(round *state.Round) map[core.JobID]core.Set {
-	open := map[core.JobID]core.Set{}
+func (h *Holder) openEntries(round *state.Round) map[core.JobID]core.IndexSet {
+	open := map[core.JobID]core.IndexSet{}
 	for id, tasks := range round.Done {
 		if e := h.Mirror.Jobs[id]; e != nil && !e.Over() {
 			open[id] = tasks
--- a/internal/block/slot.go
+++ b/internal/block/slot.go
@@ -37,8 +37,8 @@
 	cause   string
 
 	sentAt     core.Time
-	sentSeason core.Season
-	sentTally  core.Tally
+	sentSeason core.Session
+	sentTally  core.Sequence
 
 	ends    core.Time  // by estimate
 	stop    stopReason // why it is to be stopped, also if its job goes on
--- a/internal/capacity/capacity.go
+++ b/internal/capacity/capacity.go
@@ -18,8 +18,8 @@
 	placement.Job
 	Block     int
 	Remaining int
-	Running   int       // of these, as far as is known
-	Deadline  core.Wall // 0: none
+	Running   int           // of these, as far as is known
+	Deadline  core.WallTime // 0: none
 	// ReadySoon: it waits for jobs that run. It claims what is free once all others have, and
 	// is rented for, so that machines are up when it may run; none is given to its block
 	// before.
@@ -55,7 +55,7 @@
 
 // Input is what a plan is made from.
 type Input struct {
-	Now               core.Wall
+	Now               core.WallTime
 	Jobs              []*Job
 	Machines          []*Machine
 	Types             map[string]api.MachineType
--- a/internal/capacity/late.go
+++ b/internal/capacity/late.go
@@ -22,7 +22,7 @@
 )
 
 // Overdue tells whether a job has waited too long without having begun.
-func Overdue(at, now core.Wall, begun bool) bool {
+func Overdue(at, now core.WallTime, begun bool) bool {
 	return !begun && time.Duration(now-at)*time.Millisecond > beginBy
 }
 
@@ -52,7 +52,7 @@
 // one, else those on the time that jobs of its class may take. A deadline counts from
 // sent, when the job was submitted, all else from at, since when it may run. needed is by
 // when jobs that depend on it want it done (0: any time).
-func DueTimes(aims []config.Aim, spec *api.Job, sent, at, needed core.Wall) (due []core.Wall) {
+func DueTimes(aims []config.Aim, spec *api.Job, sent, at, needed core.WallTime) (due []core.WallTime) {
 	if spec.Form == api.FormGang {
 		return nil
 	}
@@ -70,10 +70,10 @@
 		deadlines = append(deadlines, *spec.DeadlineS)
 	}
 	for _, s := range deadlines {
-		due = append(due, sent+core.Wall(s*1000))
+		due = append(due, sent+core.WallTime(s*1000))
 	}
 	for _, s := range within {
-		due = append(due, at+core.Wall(s*1000))
+		due = append(due, at+core.WallTime(s*1000))
 	}
 	if needed > 0 {
 		due = append(due, needed)
@@ -93,7 +93,7 @@
 // MissesObjectives tells whether a waiting job can no longer meet any of the aims that its
 // users stated for its class, nor its own deadline. Such a job yields to those
 // that can still be in time.
-func MissesObjectives(aims []config.Aim, spec *api.Job, sent, at, now core.Wall) bool {
+func MissesObjectives(aims []config.Aim, spec *api.Job, sent, at, now core.WallTime) bool {
 	age := time.Duration(now-at) * time.Millisecond
 	if age > lateFor {
 		return false
--- a/internal/capacity/rent.go
+++ b/internal/capacity/rent.go
@@ -91,7 +91,7 @@
 func (p *planner) rentAhead(have float64) {
 	var best Offer
 	cost := math.Inf(1)
-	for _, name := range core.Keys(p.in.Types) {
+	for _, name := range core.SortedKeys(p.in.Types) {
 		t := p.in.Types[name]
 		for _, zone := range t.Zones {
 			o := Offer{name, zone, true}
@@ -149,12 +149,12 @@
 	for _, j := range jobs {
 		if !j.Gang && j.Spot && j.Deadline > 0 && j.Remaining > 0 && !j.Failing {
 			j.MissedDueTimes = 0
-			j.Timing = placement.Timing{Due: []core.Wall{j.Deadline}, Work: float64(j.Remaining) * j.Need.CPUs * j.Estimate.Seconds()}
+			j.Timing = placement.Timing{Due: []core.WallTime{j.Deadline}, Work: float64(j.Remaining) * j.Need.CPUs * j.Estimate.Seconds()}
 			byTeam[j.Team] = append(byTeam[j.Team], &j.Job)
 		}
 	}
 	var possible []*placement.Job
-	for _, team := range core.Keys(byTeam) {
+	for _, team := range core.SortedKeys(byTeam) {
 		placement.Defer(p.in.Now, p.in.TeamQuota[team], 0, byTeam[team])
 		for _, j := range byTeam[team] {
 			if j.MissedDueTimes == 0 {
@@ -247,7 +247,7 @@
 // cheapest finds the kind of machine that takes up to n tasks of a job at the least cost;
 // ordinary is how many CPUs of ordinary machines may be rented for it.
 func (p *planner) cheapest(j *Job, n int, ordinary float64) (best choice, found bool) {
-	for _, name := range core.Keys(p.in.Types) {
+	for _, name := range core.SortedKeys(p.in.Types) {
 		t := p.in.Types[name]
 		fit := fitting(j.Need, placement.CapacityOf(t), min(n, placement.MaxTasks))
 		if fit == 0 {
--- a/internal/capacity/shapes.go
+++ b/internal/capacity/shapes.go
@@ -117,7 +117,7 @@
 	if !j.Placeable(types) {
 		return nil
 	}
-	for _, name := range core.Keys(types) {
+	for _, name := range core.SortedKeys(types) {
 		if j.Need.Fits(placement.CapacityOf(types[name])) && j.Allows(name, j.Zone, false) {
 			fit = append(fit, name)
 		}
--- a/internal/capacity/share.go
+++ b/internal/capacity/share.go
@@ -213,7 +213,7 @@
 		}
 		counts[r.m.Zone] = k
 	}
-	for _, z := range core.Keys(counts) {
+	for _, z := range core.SortedKeys(counts) {
 		if k, top := counts[z], counts[best]; best == "" || k.own > top.own || k.own == top.own && k.all > top.all {
 			best = z
 		}
--- a/internal/core/loop.go
+++ b/internal/core/loop.go
@@ -9,7 +9,7 @@
 // state is touched only from its loop.
 type Loop interface {
 	Now() Time
-	Wall() Wall
+	WallNow() WallTime
 	After(d time.Duration, f func())
 }
 
@@ -33,11 +33,11 @@
 	Call(r Request, done func(Response))
 }
 
-// RealLoop is the Loop of a running process. What waits for it stands in three
+// EventLoop is the Loop of a running process. What waits for it stands in three
 // lanes: reports, the node's own timers and answers, and users. The first two
 // take turns, so that neither a burst of reports keeps a renewal waiting nor the
 // other way round; users are served when both are empty, and in every eighth turn.
-type RealLoop struct {
+type EventLoop struct {
 	start   time.Time
 	reports chan func()
 	own     chan func()
@@ -46,12 +46,12 @@
 	once    sync.Once
 }
 
-// NewLoop makes a loop for at most conns connections, each of which can bring one
+// NewEventLoop makes a loop for at most conns connections, each of which can bring one
 // request at a time: no report is refused for want of a place in the queue, not
 // even if those of all machines come at once. Run must be called for anything to
 // happen.
-func NewLoop(conns int) *RealLoop {
-	return &RealLoop{
+func NewEventLoop(conns int) *EventLoop {
+	return &EventLoop{
 		start: time.Now(), reports: make(chan func(), conns), own: make(chan func(), conns), users: make(chan func(), maxUsers), quit: make(chan struct{}),
 	}
 }
@@ -60,17 +60,17 @@
 const maxUsers = 512
 
 // Now reads the steady clock.
-func (l *RealLoop) Now() Time { return Time(time.Since(l.start)) }
+func (l *EventLoop) Now() Time { return Time(time.Since(l.start)) }
 
-// Wall reads the time of day.
-func (l *RealLoop) Wall() Wall { return Wall(time.Now().UnixMilli()) }
+// WallNow reads the time of day.
+func (l *EventLoop) WallNow() WallTime { return WallTime(time.Now().UnixMilli()) }
 
 // After runs f on the loop once d has passed.
-func (l *RealLoop) After(d time.Duration, f func()) { time.AfterFunc(d, func() { l.Post(f) }) }
+func (l *EventLoop) After(d time.Duration, f func()) { time.AfterFunc(d, func() { l.Post(f) }) }
 
 // Post runs f on the loop soon. It waits for a place in the queue, so it must not
 // be called from the loop itself.
-func (l *RealLoop) Post(f func()) {
+func (l *EventLoop) Post(f func()) {
 	select {
 	case l.own <- f:
 	case <-l.quit:
@@ -79,10 +79,10 @@
 
 // PostReport runs f, which takes in a report. It tells false when the queue is
 // full, so that callers can refuse instead of waiting.
-func (l *RealLoop) PostReport(f func()) bool { return try(l.reports, f) }
+func (l *EventLoop) PostReport(f func()) bool { return try(l.reports, f) }
 
 // PostUser is the same for users' requests and health checks.
-func (l *RealLoop) PostUser(f func()) bool { return try(l.users, f) }
+func (l *EventLoop) PostUser(f func()) bool { return try(l.users, f) }
 
 func try(lane chan func(), f func()) bool {
 	select {
@@ -94,7 +94,7 @@
 }
 
 // Run serves the loop until Stop.
-func (l *RealLoop) Run() {
+func (l *EventLoop) Run() {
 	for turn := 0; ; turn++ {
 		first, second := l.reports, l.own
 		switch {
@@ -131,4 +131,4 @@
 }
 
 // Stop ends Run.
-func (l *RealLoop) Stop() { l.once.Do(func() { close(l.quit) }) }
+func (l *EventLoop) Stop() { l.once.Do(func() { close(l.quit) }) }
--- a/internal/core/set.go
+++ b/internal/core/set.go
@@ -6,17 +6,17 @@
 	"slices"
 )
 
-// Set is a set of task numbers, kept as sorted ranges that neither touch nor
+// IndexSet is a set of task numbers, kept as sorted ranges that neither touch nor
 // overlap. On the wire it is a flat list: first, last, first, last.
-type Set struct{ spans []span }
+type IndexSet struct{ spans []span }
 
 type span struct{ lo, hi int }
 
 // Add puts n into the set.
-func (s *Set) Add(n int) { s.AddRange(n, n) }
+func (s *IndexSet) Add(n int) { s.AddRange(n, n) }
 
 // AddRange puts lo to hi into the set.
-func (s *Set) AddRange(lo, hi int) {
+func (s *IndexSet) AddRange(lo, hi int) {
 	i, _ := slices.BinarySearchFunc(s.spans, lo, func(p span, lo int) int { return p.hi + 1 - lo })
 	j := i
 	for j < len(s.spans) && s.spans[j].lo <= hi+1 {
@@ -27,20 +27,20 @@
 }
 
 // Union puts all of o into the set.
-func (s *Set) Union(o Set) {
+func (s *IndexSet) Union(o IndexSet) {
 	for _, p := range o.spans {
 		s.AddRange(p.lo, p.hi)
 	}
 }
 
 // Has tells whether n is in the set.
-func (s Set) Has(n int) bool {
+func (s IndexSet) Has(n int) bool {
 	i, _ := slices.BinarySearchFunc(s.spans, n, func(p span, n int) int { return p.hi - n })
 	return i < len(s.spans) && s.spans[i].lo <= n
 }
 
 // Len counts the members.
-func (s Set) Len() (n int) {
+func (s IndexSet) Len() (n int) {
 	for _, p := range s.spans {
 		n += p.hi - p.lo + 1
 	}
@@ -48,21 +48,21 @@
 }
 
 // Empty tells whether nothing is in the set.
-func (s Set) Empty() bool { return len(s.spans) == 0 }
+func (s IndexSet) Empty() bool { return len(s.spans) == 0 }
 
 // Clone copies the set.
-func (s Set) Clone() Set { return Set{slices.Clone(s.spans)} }
+func (s IndexSet) Clone() IndexSet { return IndexSet{slices.Clone(s.spans)} }
 
 // Split returns the set in parts of at most n ranges each.
-func (s Set) Split(n int) (parts []Set) {
+func (s IndexSet) Split(n int) (parts []IndexSet) {
 	for c := range slices.Chunk(s.spans, n) {
-		parts = append(parts, Set{slices.Clone(c)})
+		parts = append(parts, IndexSet{slices.Clone(c)})
 	}
 	return parts
 }
 
 // NextMissing returns the least number from n on that is not in the set.
-func (s Set) NextMissing(n int) int {
+func (s IndexSet) NextMissing(n int) int {
 	for _, p := range s.spans {
 		if n < p.lo {
 			return n
@@ -75,7 +75,7 @@
 }
 
 // NextIn returns the least member from n on, or -1.
-func (s Set) NextIn(n int) int {
+func (s IndexSet) NextIn(n int) int {
 	i, _ := slices.BinarySearchFunc(s.spans, n, func(p span, n int) int { return p.hi - n })
 	if i == len(s.spans) {
 		return -1
@@ -84,7 +84,7 @@
 }
 
 // MarshalJSON writes the flat list.
-func (s Set) MarshalJSON() ([]byte, error) {
+func (s IndexSet) MarshalJSON() ([]byte, error) {
 	flat := make([]int, 0, 2*len(s.spans))
 	for _, p := range s.spans {
 		flat = append(flat, p.lo, p.hi)
@@ -93,7 +93,7 @@
 }
 
 // UnmarshalJSON reads the flat list.
-func (s *Set) UnmarshalJSON(b []byte) error {
+func (s *IndexSet) UnmarshalJSON(b []byte) error {
 	var flat []int
 	if err := json.Unmarshal(b, &flat); err != nil {
 		return err
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -13,24 +13,24 @@
 type (
 	// Term is the number of one grant; it rises and is never reused.
 	Term uint64
-	// Season counts the sessions of a worker.
-	Season uint64
-	// Tally orders the messages of one season of a worker.
-	Tally uint64
+	// Session counts the sessions of a worker.
+	Session uint64
+	// Sequence orders the messages of one season of a worker.
+	Sequence uint64
 	// Attempt tells one start of a task from another.
 	Attempt uint64
 	// Revision counts the changes of the state service.
 	Revision uint64
-	// Tenure is a lease of the state service.
-	Tenure uint64
+	// LeaseID is a lease of the state service.
+	LeaseID uint64
 	// JobID names a job.
 	JobID string
 	// MachineID names a machine.
 	MachineID string
 	// Host names a controller.
 	Host string
-	// Wall is a time of day in milliseconds since 1970.
-	Wall int64
+	// WallTime is a time of day in milliseconds since 1970.
+	WallTime int64
 )
 
 // Time is a reading of this process's steady clock.
@@ -45,12 +45,12 @@
 // Seconds turns an amount of the wire into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Drift bounds how far steady clocks of two machines drift apart, doubled so
+// MaxClockDrift bounds how far steady clocks of two machines drift apart, doubled so
 // that both ends of a comparison are covered.
-const Drift = 0.001
+const MaxClockDrift = 0.001
 
-// Stretch lengthens d by the drift of clocks.
-func Stretch(d time.Duration) time.Duration { return d + time.Duration(float64(d)*Drift) }
+// WithDrift lengthens d by the drift of clocks.
+func WithDrift(d time.Duration) time.Duration { return d + time.Duration(float64(d)*MaxClockDrift) }
 
 // TaskID names a task of a job.
 type TaskID struct {
@@ -60,8 +60,8 @@
 
 func (t TaskID) String() string { return string(t.Job) + "/" + strconv.Itoa(t.Index) }
 
-// ParseTask reads a task's name.
-func ParseTask(s string) (TaskID, error) {
+// ParseTaskID reads a task's name.
+func ParseTaskID(s string) (TaskID, error) {
 	job, num, ok := strings.Cut(s, "/")
 	n, err := strconv.Atoi(num)
 	if !ok || err != nil || n < 0 || job == "" {
@@ -71,6 +71,6 @@
 }
 
 // Newer tells whether (s, t) is newer than (s2, t2).
-func Newer(s Season, t Tally, s2 Season, t2 Tally) bool {
+func Newer(s Session, t Sequence, s2 Session, t2 Sequence) bool {
 	return s > s2 || s == s2 && t > t2
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -20,7 +20,7 @@
 // Server is the HTTP side of a node.
 type Server struct {
 	app  *fiber.App
-	loop *core.RealLoop
+	loop *core.EventLoop
 	node *node.Node
 	log  *slog.Logger
 	seat chan struct{}
@@ -40,7 +40,7 @@
 )
 
 // New makes a server that keeps at most conns connections.
-func New(loop *core.RealLoop, n *node.Node, log *slog.Logger, conns int) *Server {
+func New(loop *core.EventLoop, n *node.Node, log *slog.Logger, conns int) *Server {
 	s := &Server{loop: loop, node: n, log: log, seat: make(chan struct{}, 256), most: conns}
 	s.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
@@ -56,7 +56,7 @@
 	s.app.Get("/ready", s.handle(answerWait, false, func(c *fiber.Ctx) func(node.Reply) { return n.Ready }))
 	s.app.Post("/hello", s.handle(answerWait, true, func(c *fiber.Ctx) func(node.Reply) {
 		body := append([]byte{}, c.Body()...)
-		return func(r node.Reply) { n.Report(body, r) }
+		return func(r node.Reply) { n.HandleReport(body, r) }
 	}))
 	s.app.Post("/work", s.handle(answerWait, false, func(c *fiber.Ctx) func(node.Reply) {
 		body := append([]byte{}, c.Body()...)
@@ -64,7 +64,7 @@
 	}))
 	s.app.Get("/work/:id", s.handle(pollWait, false, func(c *fiber.Ctx) func(node.Reply) {
 		id := core.JobID(append([]byte{}, c.Params("id")...))
-		return func(r node.Reply) { n.Get(id, r) }
+		return func(r node.Reply) { n.GetJob(id, r) }
 	}))
 	s.app.Post("/work/:id/cancel", s.handle(answerWait, false, func(c *fiber.Ctx) func(node.Reply) {
 		id := core.JobID(append([]byte{}, c.Params("id")...))
@@ -114,13 +114,13 @@
 			}
 		}
 		work := prepare(c)
-		done := make(chan node.Answer, 1)
+		done := make(chan node.Response, 1)
 		run := func() {
 			if s.loop.Now().Sub(came) > wait {
 				done <- overloaded
 				return
 			}
-			work(func(a node.Answer) { done <- a })
+			work(func(a node.Response) { done <- a })
 		}
 		post := s.loop.PostUser
 		if urgent {
@@ -133,7 +133,7 @@
 		defer timer.Stop()
 		select {
 		case a := <-done:
-			if a.Due > 0 && s.loop.Now() > a.Due {
+			if a.ExpiresAt > 0 && s.loop.Now() > a.ExpiresAt {
 				return busy(c)
 			}
 			return write(c, a)
@@ -148,11 +148,11 @@
 	return int(s.app.Server().GetOpenConnectionsCount()) > s.most*7/10
 }
 
-var overloaded = node.Answer{Status: 503, Body: api.Error{Error: "overloaded"}, RetryAfter: time.Second}
+var overloaded = node.Response{Status: 503, Body: api.Error{Error: "overloaded"}, RetryAfter: time.Second}
 
 func busy(c *fiber.Ctx) error { return write(c, overloaded) }
 
-func write(c *fiber.Ctx, a node.Answer) error {
+func write(c *fiber.Ctx, a node.Response) error {
 	if a.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
 	}
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -16,7 +16,7 @@
 // services, of which there are few, are kept and have seats of their own; those
 // to workers, of which there may be hundreds, are closed after the answer.
 type Caller struct {
-	loop     *core.RealLoop
+	loop     *core.EventLoop
 	services map[string]*line
 	workers  chan struct{}
 }
@@ -35,7 +35,7 @@
 // New makes a caller with at most workers requests to workers in flight. Those
 // to the services do not count there: questions to machines that are gone hang
 // until their time is over, and hundreds of them must not keep a renewal waiting.
-func New(loop *core.RealLoop, workers int, services ...string) *Caller {
+func New(loop *core.EventLoop, workers int, services ...string) *Caller {
 	c := &Caller{loop: loop, workers: make(chan struct{}, workers), services: map[string]*line{}}
 	for _, addr := range services {
 		c.services[addr] = &line{make(chan struct{}, config.PerService), client(addr, config.PerService)}
--- a/internal/leader/cloud.go
+++ b/internal/leader/cloud.go
@@ -21,7 +21,7 @@
 			l.sendBack(m.ID)
 		}
 	}
-	for _, n := range core.Keys(l.Mirror.Blocks) {
+	for _, n := range core.SortedKeys(l.Mirror.Blocks) {
 		for m := range l.Mirror.Inventory(n).All() {
 			if known, ok := pool.Find(m.ID); m.Lost && (!ok || known.Fate != state.Gone) {
 				l.sendBack(m.ID)
@@ -73,7 +73,7 @@
 func (l *Leader) rent(rentals []capacity.Rental) {
 	// Nothing else that the cloud is asked for hangs on the moment: what is returned is
 	// marked so first. After a halt somebody else may lead, and rent the same.
-	if l.rentals > 0 || len(l.rented) > 0 || l.types == nil || !l.Sure() {
+	if l.rentals > 0 || len(l.rented) > 0 || l.types == nil || !l.LeaseValid() {
 		return
 	}
 	for _, r := range byOffer(rentals) {
@@ -118,7 +118,7 @@
 			l.closed[r.Offer] = l.Loop.Now().Add(closedFor)
 		}
 		for _, id := range ids {
-			l.rented = append(l.rented, state.Machine{ID: core.MachineID(id), Type: req.Type, Zone: req.Zone, Spot: req.Spot, Since: l.Loop.Wall()})
+			l.rented = append(l.rented, state.Machine{ID: core.MachineID(id), Type: req.Type, Zone: req.Zone, Spot: req.Spot, Since: l.Loop.WallNow()})
 		}
 		l.act()
 	})
--- a/internal/leader/found.go
+++ b/internal/leader/found.go
@@ -55,7 +55,7 @@
 
 // numbers lists all blocks, new ones included.
 func (d *blockDrafts) numbers() []int {
-	numbers := core.Keys(d.mirror.Blocks)
+	numbers := core.SortedKeys(d.mirror.Blocks)
 	for n := range d.changed {
 		numbers = append(numbers, n)
 	}
--- a/internal/leader/grant.go
+++ b/internal/leader/grant.go
@@ -24,7 +24,7 @@
 		live = hearing
 	}
 	loads := l.loads(live)
-	numbers := core.Keys(l.Mirror.Blocks)
+	numbers := core.SortedKeys(l.Mirror.Blocks)
 	moves := l.moveOrphaned(numbers, loads)
 	if len(moves) == 0 && now.Sub(l.isolationAt) >= isolationPause {
 		l.isolationAt = now
@@ -117,7 +117,7 @@
 		b := l.Mirror.Blocks[n].Record
 		// A block that is still looking for its machines is left alone: moved on
 		// in the midst of that, it began anew, and its workers' leases ran out.
-		if loads.blocks[b.Holder] >= loads.blocks[to.Host]+2 && l.Settled(n) {
+		if loads.blocks[b.Holder] >= loads.blocks[to.Host]+2 && l.HolderReady(n) {
 			return []*state.Block{movedTo(b, to)}
 		}
 	}
@@ -143,7 +143,7 @@
 // service but does not hear the block's machines, to one that they come to.
 func (l *Leader) moveFromIsolated(numbers []int, live []state.Member, now core.Time) []*state.Block {
 	for _, n := range numbers {
-		host, ok := l.Isolated(n)
+		host, ok := l.ReplacementHolder(n)
 		if !ok {
 			continue
 		}
--- a/internal/leader/leader.go
+++ b/internal/leader/leader.go
@@ -26,21 +26,21 @@
 	State   *state.Client
 	Cloud   *cloud.Client
 	Workers *worker.Client
-	// Kept lists the kinds of machine that are always kept for gangs.
-	Kept func() capacity.GangKinds
-	// Isolated names the controller that should hold a block whose holder does not
+	// GangKinds lists the kinds of machine that are always kept for gangs.
+	GangKinds func() capacity.GangKinds
+	// ReplacementHolder names the controller that should hold a block whose holder does not
 	// hear its machines.
-	Isolated func(block int) (core.Host, bool)
-	// Settled tells whether a block's holder has found its machines.
-	Settled func(block int) bool
-	// Failing lists the jobs that have only failed so far.
-	Failing func() map[core.JobID]bool
-	// Running counts the tasks of jobs that run.
-	Running func() map[core.JobID]int
-	// Sure tells whether our tenure has certainly not run out.
-	Sure func() bool
-	// Idle lists machines of blocks on which nothing is booked.
-	Idle func() map[core.MachineID]bool
+	ReplacementHolder func(block int) (core.Host, bool)
+	// HolderReady tells whether a block's holder has found its machines.
+	HolderReady func(block int) bool
+	// FailingJobs lists the jobs that have only failed so far.
+	FailingJobs func() map[core.JobID]bool
+	// RunningTasks counts the tasks of jobs that run.
+	RunningTasks func() map[core.JobID]int
+	// LeaseValid tells whether our tenure has certainly not run out.
+	LeaseValid func() bool
+	// IdleMachines lists machines of blocks on which nothing is booked.
+	IdleMachines func() map[core.MachineID]bool
 }
 
 // Leader acts for one term.
@@ -68,7 +68,7 @@
 	rentals     int                     // in flight
 	stable      map[core.Host]core.Time
 	notes       []note // of the transaction being composed
-	isolations  map[core.Tenure]isolation
+	isolations  map[core.LeaseID]isolation
 	trend       capacity.DemandTrend
 	boots       capacity.BootTimes
 	booting     map[core.MachineID]bool // not known to have come up yet
@@ -82,7 +82,7 @@
 	l := &Leader{
 		Env: env, record: record, list: map[core.MachineID]api.ListedMachine{}, closed: map[capacity.Offer]core.Time{},
 		free: map[core.MachineID]core.Time{}, unknown: worker.NewProber(env.Workers, maxAsking), sending: map[core.MachineID]bool{}, done: map[core.MachineID]bool{}, booting: map[core.MachineID]bool{},
-		stable: map[core.Host]core.Time{}, isolations: map[core.Tenure]isolation{},
+		stable: map[core.Host]core.Time{}, isolations: map[core.LeaseID]isolation{},
 	}
 	l.Log.Info("we lead", "term", record.Record.Term)
 	return l
@@ -94,8 +94,8 @@
 // Version returns the version of the leader key under which it acts.
 func (l *Leader) Version() core.Revision { return l.record.Version }
 
-// End stops acting.
-func (l *Leader) End() {
+// Stop stops acting.
+func (l *Leader) Stop() {
 	l.ended = true
 	l.Log.Info("we no longer lead", "term", l.record.Record.Term)
 }
@@ -234,7 +234,7 @@
 
 // live lists the controllers with a tenure, by name.
 func (l *Leader) live() (out []state.Member) {
-	for _, h := range core.Keys(l.Mirror.Members) {
+	for _, h := range core.SortedKeys(l.Mirror.Members) {
 		out = append(out, l.Mirror.Members[h].Record)
 	}
 	return out
--- a/internal/leader/machines.go
+++ b/internal/leader/machines.go
@@ -21,12 +21,12 @@
 	l.noteGone(edit)
 	l.lookAtList(edit)
 	l.noteRented(edit)
-	plan := l.plan(edit, now, l.Loop.Wall())
+	plan := l.plan(edit, now, l.Loop.WallNow())
 	changed := map[int]bool{} // blocks whose machines are written
 	l.assign(t, edit, plan.Assign, changed)
 	l.askBack(edit, plan.Drain, changed)
 	l.markReturned(edit, plan.Return)
-	for _, n := range core.Keys(changed) {
+	for _, n := range core.SortedKeys(changed) {
 		l.underBlock(t, n)
 	}
 	edit.Apply(t)
@@ -59,11 +59,11 @@
 	for _, n := range blocks {
 		terms[n] = 0
 	}
-	for i, n := range core.Keys(terms) {
+	for i, n := range core.SortedKeys(terms) {
 		terms[n] = l.Mirror.Term.Record.Last + 1 + core.Term(i)
 	}
 	moved := false
-	for _, id := range core.Keys(blocks) {
+	for _, id := range core.SortedKeys(blocks) {
 		n := blocks[id]
 		m, ok := edit.Find(state.PoolInventory, id)
 		if !ok || l.Mirror.Blocks[n].Record == nil {
@@ -116,8 +116,8 @@
 // noteGone writes down which returns the cloud has confirmed, and forgets
 // machines that are gone once the list no longer can name them.
 func (l *Leader) noteGone(edit *state.Edit) {
-	wall := l.Loop.Wall()
-	for _, id := range core.Keys(l.done) {
+	wall := l.Loop.WallNow()
+	for _, id := range core.SortedKeys(l.done) {
 		m, pooled := edit.Find(state.PoolInventory, id)
 		_, held := l.Mirror.MachineBlock(id)
 		if !pooled && !held || pooled && m.Fate == state.Gone {
@@ -131,7 +131,7 @@
 			edit.Add(state.PoolInventory, m)
 		}
 	}
-	listed := core.Wall(3*l.Config.CloudLim.ListLag.Milliseconds() + 20000)
+	listed := core.WallTime(3*l.Config.CloudLim.ListLag.Milliseconds() + 20000)
 	for m := range l.Mirror.Inventory(state.PoolInventory).All() {
 		if _, held := l.Mirror.MachineBlock(m.ID); m.Fate == state.Gone && !held && wall-m.Since > listed {
 			edit.Remove(state.PoolInventory, m.ID)
@@ -141,7 +141,7 @@
 
 // lookAtList adopts machines that nobody knows of, and gives back failed ones.
 func (l *Leader) lookAtList(edit *state.Edit) {
-	for _, id := range core.Keys(l.list) {
+	for _, id := range core.SortedKeys(l.list) {
 		m := l.list[id]
 		known, pooled := edit.Find(state.PoolInventory, id)
 		if m.Phase == api.MachineFailed {
@@ -155,7 +155,7 @@
 		}
 		adopted := state.Machine{
 			ID: id, Addr: m.Addr, Type: m.Type, Zone: m.Zone, Spot: m.Spot,
-			Since: l.Loop.Wall() - core.Wall(m.AgeS*1000), Seen: l.Mirror.Term.Record.Last,
+			Since: l.Loop.WallNow() - core.WallTime(m.AgeS*1000), Seen: l.Mirror.Term.Record.Last,
 		}
 		if edit.Add(state.PoolInventory, adopted) {
 			l.note("machine adopted", "machine", id, "type", m.Type, "phase", m.Phase)
@@ -187,8 +187,8 @@
 	return false
 }
 
-// Saw notes a machine that reports though no block has it.
-func (l *Leader) Saw(rep *api.Report) {
+// NoteUnassigned notes a machine that reports though no block has it.
+func (l *Leader) NoteUnassigned(rep *api.Report) {
 	id := core.MachineID(rep.Machine)
 	if _, known := l.list[id]; known || l.ended {
 		return
--- a/internal/leader/plan.go
+++ b/internal/leader/plan.go
@@ -13,12 +13,12 @@
 )
 
 // plan asks the capacity package what should be where.
-func (l *Leader) plan(edit *state.Edit, now core.Time, wall core.Wall) capacity.Plan {
-	in := capacity.Input{Now: wall, Types: l.priced(), GangKinds: l.Kept(), TeamQuota: map[string]float64{}, UnavailableOffers: l.closedOffers(now), IdleTimeout: l.Config.Operator.Idle}
+func (l *Leader) plan(edit *state.Edit, now core.Time, wall core.WallTime) capacity.Plan {
+	in := capacity.Input{Now: wall, Types: l.priced(), GangKinds: l.GangKinds(), TeamQuota: map[string]float64{}, UnavailableOffers: l.closedOffers(now), IdleTimeout: l.Config.Operator.Idle}
 	for _, t := range l.Mirror.Teams(l.Config.Teams) {
 		in.TeamQuota[t.Name] = t.CPUsMax
 	}
-	idle := l.Idle()
+	idle := l.IdleMachines()
 	waiting := l.watchBoots(edit, now, wall, in.Types, idle)
 	doubtful, hopeless := l.judgeBoots(edit, now, &in, waiting)
 	in.Machines = append(l.pooledMachines(edit, now, doubtful), l.blockMachines(edit, idle, doubtful)...)
@@ -53,7 +53,7 @@
 	usual := func(typ string) time.Duration { return core.Seconds(in.Types[typ].BootS) }
 	doubtful = map[core.MachineID]bool{}
 	var pending []capacity.PendingMachine
-	for _, id := range core.Keys(waiting) {
+	for _, id := range core.SortedKeys(waiting) {
 		boot := waiting[id]
 		pending = append(pending, boot)
 		doubtful[id] = l.boots.Overdue(now, boot, usual(boot.Type))
@@ -98,7 +98,7 @@
 	for _, m := range edit.All(state.PoolInventory) {
 		leaving[m.ID] = m.Fate != state.Free
 	}
-	for _, n := range core.Keys(l.Mirror.Blocks) {
+	for _, n := range core.SortedKeys(l.Mirror.Blocks) {
 		for m := range l.Mirror.Inventory(n).All() {
 			if m.Lost || m.Doomed || leaving[m.ID] {
 				continue
@@ -117,8 +117,8 @@
 
 // unfinishedJobs describes the jobs that may run, and those that are expected to before
 // long, the oldest first.
-func (l *Leader) unfinishedJobs(wall core.Wall) (jobs []*capacity.Job) {
-	failing, running := l.Failing(), l.Running()
+func (l *Leader) unfinishedJobs(wall core.WallTime) (jobs []*capacity.Job) {
+	failing, running := l.FailingJobs(), l.RunningTasks()
 	for id, e := range l.Mirror.Jobs {
 		if e.Over() || e.Spec == nil {
 			continue
@@ -155,7 +155,7 @@
 
 // describeJob describes an unfinished job, or nothing: no machine is kept or rented for what
 // cannot start.
-func (l *Leader) describeJob(id core.JobID, e *state.JobEntry, wall core.Wall, running map[core.JobID]int) *capacity.Job {
+func (l *Leader) describeJob(id core.JobID, e *state.JobEntry, wall core.WallTime, running map[core.JobID]int) *capacity.Job {
 	block, ok := l.Mirror.TeamBlock(e.Team)
 	at, ready := l.Mirror.ReadyAt(e)
 	expected := !ready && l.Mirror.ReadySoon(e, func(id core.JobID) bool { return running[id] > 0 })
@@ -183,7 +183,7 @@
 
 // watchBoots follows which machines have not come up yet, and how long those took that
 // have.
-func (l *Leader) watchBoots(edit *state.Edit, now core.Time, wall core.Wall, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.PendingMachine {
+func (l *Leader) watchBoots(edit *state.Edit, now core.Time, wall core.WallTime, types map[string]api.MachineType, idle map[core.MachineID]bool) map[core.MachineID]capacity.PendingMachine {
 	waiting := map[core.MachineID]capacity.PendingMachine{}
 	look := func(m *state.Machine) {
 		age := time.Duration(wall-m.Since) * time.Millisecond
@@ -197,7 +197,7 @@
 	for _, m := range edit.All(state.PoolInventory) {
 		look(&m)
 	}
-	for _, n := range core.Keys(l.Mirror.Blocks) {
+	for _, n := range core.SortedKeys(l.Mirror.Blocks) {
 		for m := range l.Mirror.Inventory(n).All() {
 			look(&m)
 		}
--- a/internal/node/answers.go
+++ b/internal/node/answers.go
@@ -8,39 +8,39 @@
 	"lichenstair/internal/state"
 )
 
-// Answer is what a request is answered with.
-type Answer struct {
+// Response is what a request is answered with.
+type Response struct {
 	Status     int
 	Body       any
 	RetryAfter time.Duration
-	// Due is when the answer is too old to be sent, for one that may change (0: it may
+	// ExpiresAt is when the answer is too old to be sent, for one that may change (0: it may
 	// not). A process can stand still between making and sending it, while another
 	// controller tells the user something newer.
-	Due core.Time
+	ExpiresAt core.Time
 }
 
 // proofTime is how long an answer that may change can be sent.
 const proofTime = time.Second
 
 // known answers with what the mirror, proven up to date, shows of a job.
-func (n *Node) known(id core.JobID, e *state.JobEntry) Answer {
-	a := Answer{Status: 200, Body: n.status(id, e)}
+func (n *Node) known(id core.JobID, e *state.JobEntry) Response {
+	a := Response{Status: 200, Body: n.status(id, e)}
 	if !e.Over() {
-		a.Due = n.loop.Now().Add(proofTime)
+		a.ExpiresAt = n.loop.Now().Add(proofTime)
 	}
 	return a
 }
 
 // Reply hands over the answer, exactly once.
-type Reply func(Answer)
+type Reply func(Response)
 
-func refuse(status int, why, field string) Answer {
-	return Answer{Status: status, Body: api.Error{Error: why, Field: field}}
+func refuse(status int, why, field string) Response {
+	return Response{Status: status, Body: api.Error{Error: why, Field: field}}
 }
 
 // later asks the user to come back.
-func (n *Node) later(why string) Answer {
-	return Answer{Status: 503, Body: api.Error{Error: why}, RetryAfter: n.cfg.Operator.RetryAfter}
+func (n *Node) later(why string) Response {
+	return Response{Status: 503, Body: api.Error{Error: why}, RetryAfter: n.cfg.Operator.RetryAfter}
 }
 
 // Ready answers health checks.
@@ -53,7 +53,7 @@
 		reply(n.later("cut off from the state service, which others reach"))
 		return
 	}
-	reply(Answer{Status: 200, Body: struct{}{}})
+	reply(Response{Status: 200, Body: struct{}{}})
 }
 
 // status describes a job as the mirror shows it.
@@ -74,9 +74,9 @@
 	return s
 }
 
-// Get answers a poll. What is over stays as it is; anything else is answered
+// GetJob answers a poll. What is over stays as it is; anything else is answered
 // only once the mirror is proven to be up to date.
-func (n *Node) Get(id core.JobID, reply Reply) {
+func (n *Node) GetJob(id core.JobID, reply Reply) {
 	if e := n.mirror.Jobs[id]; e != nil && e.Over() {
 		reply(n.known(id, e))
 		return
@@ -139,7 +139,7 @@
 			switch r.Outcome {
 			case state.Applied:
 				n.announceCancellation(id)
-				reply(Answer{Status: 200, Body: api.JobStatus{ID: string(id), Phase: api.PhaseCancelled}})
+				reply(Response{Status: 200, Body: api.JobStatus{ID: string(id), Phase: api.PhaseCancelled}})
 			case state.Refused, state.NoTenure:
 				reply(n.later("the state service does not take changes"))
 			default:
--- a/internal/node/cancellations.go
+++ b/internal/node/cancellations.go
@@ -28,7 +28,7 @@
 	if len(n.cancellations) < maxCancellation {
 		n.cancellations = append(n.cancellations, confirmedCancellation{id, n.loop.Now()})
 	}
-	n.broadcast(peer.EncodeCancelled([]core.JobID{id}))
+	n.broadcast(peer.EncodeCancellations([]core.JobID{id}))
 	for _, h := range n.holders {
 		h.Cancelled(id)
 	}
@@ -44,5 +44,5 @@
 	for _, c := range n.cancellations {
 		ids = append(ids, c.id)
 	}
-	n.broadcast(peer.EncodeCancelled(ids))
+	n.broadcast(peer.EncodeCancellations(ids))
 }
--- a/internal/node/isolation.go
+++ b/internal/node/isolation.go
@@ -53,7 +53,7 @@
 		count[s.block]++
 	}
 	var out []peer.MisroutedHint
-	for _, num := range core.Keys(count) {
+	for _, num := range core.SortedKeys(count) {
 		out = append(out, peer.MisroutedHint{Number: num, Machines: count[num]})
 	}
 	return out
@@ -84,7 +84,7 @@
 		return false
 	}
 	hint, ok := n.hint(num, b.Record.Holder)
-	return ok && hint.Granted == b.Record.Term && hint.Placing
+	return ok && hint.Term == b.Record.Term && hint.Placing
 }
 
 // looksIsolated tells whether a block's holder seems not to hear most of the
@@ -101,7 +101,7 @@
 		return false
 	}
 	hint, ok := n.hint(num, b.Record.Holder)
-	return ok && hint.Silent > 0 && hint.Silent > hint.Live || !ok && n.mirror.Inventory(num).Len() > 0
+	return ok && hint.SilentMachines > 0 && hint.SilentMachines > hint.LiveMachines || !ok && n.mirror.Inventory(num).Len() > 0
 }
 
 // doubtful tells whether a block's holder has told nothing for a moment, or no longer
@@ -113,7 +113,7 @@
 	}
 	p, heard := n.peers[b.Record.Holder]
 	hint, ok := n.hint(num, b.Record.Holder)
-	return ok && hint.Granted == b.Record.Term && hint.Silent > 0 || heard && n.loop.Now().Sub(p.at) > 2*beatEvery+beatEvery/2
+	return ok && hint.Term == b.Record.Term && hint.SilentMachines > 0 || heard && n.loop.Now().Sub(p.at) > 2*beatEvery+beatEvery/2
 }
 
 // isolated tells which controller should hold a block instead of its holder: one
@@ -125,7 +125,7 @@
 	}
 	need := 1
 	if hint, ok := n.hint(num, b.Record.Holder); ok {
-		need = max(1, (hint.Silent+1)/2)
+		need = max(1, (hint.SilentMachines+1)/2)
 	}
 	best, most := core.Host(""), 0
 	look := func(h core.Host, misrouted []peer.MisroutedHint) {
@@ -137,8 +137,8 @@
 	}
 	now := n.loop.Now()
 	look(n.cfg.Host, n.misroutedHints())
-	for _, host := range core.Keys(n.peers) {
-		if p := n.peers[host]; now.Sub(p.at) < beatValid && p.Contact < contactLost {
+	for _, host := range core.SortedKeys(n.peers) {
+		if p := n.peers[host]; now.Sub(p.at) < beatValid && p.Staleness < contactLost {
 			look(host, p.Misrouted)
 		}
 	}
--- a/internal/node/membership.go
+++ b/internal/node/membership.go
@@ -41,7 +41,7 @@
 		n.become(joining)
 		again := func() { n.loop.After(300*time.Millisecond, func() { n.become(outside) }) }
 		start := func() {
-			n.state.Grant(n.cfg.Operator.Tenure, func(t core.Tenure) {
+			n.state.Grant(n.cfg.Operator.Tenure, func(t core.LeaseID) {
 				if t == 0 {
 					again()
 					return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -34,7 +34,7 @@
 	metrics *metrics.Metrics
 
 	membership membership
-	tenure     core.Tenure
+	tenure     core.LeaseID
 	renewedAt  core.Time
 	registered core.Revision // of our member key
 	renewing   bool
@@ -118,7 +118,7 @@
 	if n.leader != nil {
 		n.leader.Tick()
 	}
-	for _, num := range core.Keys(n.holders) {
+	for _, num := range core.SortedKeys(n.holders) {
 		n.holders[num].Tick()
 	}
 	n.measure()
@@ -146,7 +146,7 @@
 		}
 	}
 	n.follow()
-	for _, num := range core.Keys(n.holders) {
+	for _, num := range core.SortedKeys(n.holders) {
 		n.holders[num].Changed(t)
 	}
 	if n.leader != nil {
@@ -165,15 +165,15 @@
 	l := n.mirror.Leader
 	ours := n.tenure != 0 && l.Record != nil && l.Record.Host == n.cfg.Host && l.Record.Tenure == n.tenure
 	if n.leader != nil && (!ours || n.leader.Version() != l.Version) {
-		n.leader.End()
+		n.leader.Stop()
 		n.leader = nil
 	}
 	if ours && n.leader == nil {
 		n.leader = leader.New(leader.Env{
-			Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Cloud: n.cloud, Workers: n.workers, Kept: n.kept, Isolated: n.isolated, Settled: n.settled, Failing: n.failing, Running: n.allRunning, Idle: n.idle, Sure: n.sure,
+			Loop: n.loop, Log: n.log, Config: n.cfg, Host: n.cfg.Host, Mirror: n.mirror, State: n.state, Cloud: n.cloud, Workers: n.workers, GangKinds: n.kept, ReplacementHolder: n.isolated, HolderReady: n.settled, FailingJobs: n.failing, RunningTasks: n.allRunning, IdleMachines: n.idle, LeaseValid: n.sure,
 		}, l)
 	}
-	for _, num := range core.Keys(n.holders) {
+	for _, num := range core.SortedKeys(n.holders) {
 		h := n.holders[num]
 		b, ok := n.mirror.Blocks[num]
 		if !ok || b.Record.Term != h.Term() || b.Record.Holder != n.cfg.Host {
@@ -182,7 +182,7 @@
 			n.metrics.BlockTerm.DeleteLabelValues(strconv.Itoa(num))
 		}
 	}
-	for _, num := range core.Keys(n.mirror.Blocks) {
+	for _, num := range core.SortedKeys(n.mirror.Blocks) {
 		b := n.mirror.Blocks[num]
 		if n.holders[num] == nil && n.tenure != 0 && b.Record.Holder == n.cfg.Host && b.Record.Tenure == n.tenure {
 			n.holders[num] = block.New(block.Env{
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -18,7 +18,7 @@
 
 // heard is the last beat of a peer.
 type heard struct {
-	peer.Beat
+	peer.Heartbeat
 	at core.Time
 }
 
@@ -26,8 +26,8 @@
 func (n *Node) beat() {
 	n.loop.After(beatEvery, n.beat)
 	n.shareChanges()
-	b := peer.Beat{Host: n.cfg.Host, Tenure: n.tenure, Contact: n.contact(), Changes: uint64(10 * n.state.Usage())}
-	for _, num := range core.Keys(n.holders) {
+	b := peer.Heartbeat{Host: n.cfg.Host, LeaseID: n.tenure, Staleness: n.contact(), WriteRate: uint64(10 * n.state.Usage())}
+	for _, num := range core.SortedKeys(n.holders) {
 		b.Blocks = append(b.Blocks, n.holders[num].Hint())
 		b.Running = append(b.Running, n.holders[num].RunningHints()...)
 		b.Failing = append(b.Failing, n.holders[num].Failing()...)
@@ -35,7 +35,7 @@
 	// If they are too many for a frame, those with the most tasks matter most.
 	slices.SortStableFunc(b.Running, func(x, y peer.RunningHint) int { return cmp.Compare(y.Tasks, x.Tasks) })
 	b.Misrouted = n.misroutedHints()
-	n.broadcast(peer.Encode(b))
+	n.broadcast(peer.EncodeHeartbeat(b))
 	n.repeatCancellation()
 }
 
@@ -45,7 +45,7 @@
 	for _, p := range n.cfg.Peers {
 		used := -1.0
 		if h, ok := n.peers[p.Host]; ok && n.loop.Now().Sub(h.at) < beatValid {
-			used = float64(h.Changes) / 10
+			used = float64(h.WriteRate) / 10
 		}
 		others = append(others, used)
 	}
@@ -61,9 +61,9 @@
 	return n.loop.Now().Sub(at)
 }
 
-// Peer takes in a frame from another controller.
-func (n *Node) Peer(frame []byte) {
-	if ids, ok := peer.DecodeCancelled(frame); ok {
+// HandleFrame takes in a frame from another controller.
+func (n *Node) HandleFrame(frame []byte) {
+	if ids, ok := peer.DecodeCancellations(frame); ok {
 		for _, id := range ids {
 			for _, h := range n.holders {
 				h.Cancelled(id)
@@ -71,7 +71,7 @@
 		}
 		return
 	}
-	b, ok, err := peer.Decode(frame)
+	b, ok, err := peer.DecodeHeartbeat(frame)
 	if err != nil || !ok {
 		return
 	}
@@ -90,7 +90,7 @@
 	}
 	now := n.loop.Now()
 	for _, h := range n.peers {
-		if now.Sub(h.at) < beatValid && h.Contact+now.Sub(h.at) < contactLost {
+		if now.Sub(h.at) < beatValid && h.Staleness+now.Sub(h.at) < contactLost {
 			return true
 		}
 	}
@@ -118,9 +118,9 @@
 // idle lists machines of blocks on which their holders have nothing.
 func (n *Node) idle() map[core.MachineID]bool {
 	out := map[core.MachineID]bool{}
-	for _, num := range core.Keys(n.mirror.Blocks) {
+	for _, num := range core.SortedKeys(n.mirror.Blocks) {
 		if hint, ok := n.hint(num, n.mirror.Blocks[num].Record.Holder); ok {
-			for _, id := range hint.Idle {
+			for _, id := range hint.IdleMachines {
 				out[id] = true
 			}
 		}
--- a/internal/node/submit.go
+++ b/internal/node/submit.go
@@ -50,7 +50,7 @@
 		return
 	}
 	if n.mirror.Jobs[id] != nil {
-		n.Get(id, reply)
+		n.GetJob(id, reply)
 		return
 	}
 	if why, field := n.impossible(&j); why != "" {
@@ -69,7 +69,7 @@
 	}
 	n.trim(&j)
 	raw, err := json.Marshal(state.Job{
-		Phase: state.JobAccepted, Tasks: j.Tasks, At: n.loop.Wall(), Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Spec: &j,
+		Phase: state.JobAccepted, Tasks: j.Tasks, At: n.loop.WallNow(), Team: j.Team, CPUs: j.CPUs, GPUs: j.GPUs, MemoryGB: j.MemoryGB, Spec: &j,
 	})
 	if err != nil || len(raw) > n.cfg.StateLim.ValueBytes {
 		field := ""
@@ -80,7 +80,7 @@
 		return
 	}
 	if len(n.creates) >= maxCreates {
-		reply(Answer{Status: 429, Body: api.Error{Error: "too many submissions"}, RetryAfter: n.cfg.Operator.RetryAfter})
+		reply(Response{Status: 429, Body: api.Error{Error: "too many submissions"}, RetryAfter: n.cfg.Operator.RetryAfter})
 		return
 	}
 	n.creates = append(n.creates, &create{id, raw, n.loop.Now().Add(createWait), len(j.Dependencies) > 0, reply})
@@ -191,7 +191,7 @@
 		case state.Applied:
 			for _, c := range batch {
 				if !c.after {
-					c.reply(Answer{Status: 201, Body: api.JobStatus{ID: string(c.id), Phase: api.PhaseQueued}})
+					c.reply(Response{Status: 201, Body: api.JobStatus{ID: string(c.id), Phase: api.PhaseQueued}})
 					continue
 				}
 				n.mirror.Await(r.Revision, func(ok bool) {
--- a/internal/node/workers.go
+++ b/internal/node/workers.go
@@ -8,8 +8,8 @@
 	"lichenstair/internal/state"
 )
 
-// Report answers a worker's report.
-func (n *Node) Report(body []byte, reply Reply) {
+// HandleReport answers a worker's report.
+func (n *Node) HandleReport(body []byte, reply Reply) {
 	var rep api.Report
 	if api.Decode(body, &rep) != nil || rep.Machine == "" || rep.Season == 0 || rep.Addr == "" || rep.Type == "" {
 		reply(refuse(400, "not a report", ""))
@@ -23,7 +23,7 @@
 	num, ok := n.mirror.MachineBlock(id)
 	if !ok {
 		if n.leader != nil {
-			n.leader.Saw(&rep)
+			n.leader.NoteUnassigned(&rep)
 		}
 		n.park(&rep, reply)
 		return
@@ -43,7 +43,7 @@
 	}
 	h.Report(&rep, func(a api.ReportAnswer, ok bool) {
 		if ok {
-			reply(Answer{Status: 200, Body: a})
+			reply(Response{Status: 200, Body: a})
 			return
 		}
 		n.park(&rep, reply)
@@ -93,7 +93,7 @@
 			n.log.Debug("report is handed to its machine's holder", "machine", id, "block", num, "season", p.rep.Season, "tally", p.rep.Tally, "waited", now.Sub(p.since).String())
 			n.holders[num].Report(p.rep, func(a api.ReportAnswer, ok bool) {
 				if ok {
-					p.reply(Answer{Status: 200, Body: a})
+					p.reply(Response{Status: 200, Body: a})
 					return
 				}
 				n.redirect(id, p.reply)
@@ -118,5 +118,5 @@
 	if to == n.cfg.Host {
 		to = ""
 	}
-	reply(Answer{Status: 421, Body: api.Redirect{Steward: string(to)}})
+	reply(Response{Status: 421, Body: api.Redirect{Steward: string(to)}})
 }
--- a/internal/peer/message.go
+++ b/internal/peer/message.go
@@ -26,15 +26,15 @@
 	kindCancelled = 2
 )
 
-// Beat is what a controller tells the others, about twice a second.
-type Beat struct {
-	Host   core.Host
-	Tenure core.Tenure
-	// Contact is how long ago the state service proved the sender up to date.
-	Contact time.Duration
-	// Changes is how many changes a second the sender has made lately at the state
+// Heartbeat is what a controller tells the others, about twice a second.
+type Heartbeat struct {
+	Host    core.Host
+	LeaseID core.LeaseID
+	// Staleness is how long ago the state service proved the sender up to date.
+	Staleness time.Duration
+	// WriteRate is how many changes a second the sender has made lately at the state
 	// service, in tenths.
-	Changes   uint64
+	WriteRate uint64
 	Blocks    []BlockHint
 	Running   []RunningHint
 	Misrouted []MisroutedHint
@@ -44,13 +44,13 @@
 
 // BlockHint is what a holder tells of its block.
 type BlockHint struct {
-	Number  int
-	Granted core.Term
-	Placing bool
-	Waiting int // tasks
-	Live    int // machines that report to the holder
-	Silent  int // machines that have stopped to
-	Idle    []core.MachineID
+	Number         int
+	Term           core.Term
+	Placing        bool
+	WaitingTasks   int // tasks
+	LiveMachines   int // machines that report to the holder
+	SilentMachines int // machines that have stopped to
+	IdleMachines   []core.MachineID
 }
 
 // MisroutedHint counts the machines of another holder's block that have lately
@@ -75,27 +75,27 @@
 	maxCancelled = 200
 )
 
-// Encode makes a frame of a beat; what exceeds its bounds is left out.
-func Encode(b Beat) []byte {
+// EncodeHeartbeat makes a frame of a beat; what exceeds its bounds is left out.
+func EncodeHeartbeat(b Heartbeat) []byte {
 	p := make([]byte, headerSize, 256)
 	p = putText(p, string(b.Host))
-	p = binary.AppendUvarint(p, uint64(b.Tenure))
-	p = binary.AppendUvarint(p, uint64(max(b.Contact, 0)/time.Millisecond))
-	p = binary.AppendUvarint(p, b.Changes)
+	p = binary.AppendUvarint(p, uint64(b.LeaseID))
+	p = binary.AppendUvarint(p, uint64(max(b.Staleness, 0)/time.Millisecond))
+	p = binary.AppendUvarint(p, b.WriteRate)
 	blocks := b.Blocks[:min(len(b.Blocks), maxBlocks)]
 	p = binary.AppendUvarint(p, uint64(len(blocks)))
 	for _, h := range blocks {
 		p = binary.AppendUvarint(p, uint64(h.Number))
-		p = binary.AppendUvarint(p, uint64(h.Granted))
+		p = binary.AppendUvarint(p, uint64(h.Term))
 		placing := byte(0)
 		if h.Placing {
 			placing = 1
 		}
 		p = append(p, placing)
-		p = binary.AppendUvarint(p, uint64(h.Waiting))
-		p = binary.AppendUvarint(p, uint64(h.Live))
-		p = binary.AppendUvarint(p, uint64(h.Silent))
-		idle := h.Idle[:min(len(h.Idle), maxIdle)]
+		p = binary.AppendUvarint(p, uint64(h.WaitingTasks))
+		p = binary.AppendUvarint(p, uint64(h.LiveMachines))
+		p = binary.AppendUvarint(p, uint64(h.SilentMachines))
+		idle := h.IdleMachines[:min(len(h.IdleMachines), maxIdle)]
 		p = binary.AppendUvarint(p, uint64(len(idle)))
 		for _, id := range idle {
 			p = putText(p, string(id))
@@ -128,8 +128,8 @@
 	return p
 }
 
-// EncodeCancelled makes a frame that tells of jobs that are durably cancelled.
-func EncodeCancelled(ids []core.JobID) []byte {
+// EncodeCancellations makes a frame that tells of jobs that are durably cancelled.
+func EncodeCancellations(ids []core.JobID) []byte {
 	p := make([]byte, headerSize, 64)
 	ids = ids[:min(len(ids), maxCancelled)]
 	p = binary.AppendUvarint(p, uint64(len(ids)))
@@ -139,8 +139,8 @@
 	return seal(p, kindCancelled)
 }
 
-// DecodeCancelled reads such a frame; ok is false for all others.
-func DecodeCancelled(frame []byte) (ids []core.JobID, ok bool) {
+// DecodeCancellations reads such a frame; ok is false for all others.
+func DecodeCancellations(frame []byte) (ids []core.JobID, ok bool) {
 	if len(frame) < headerSize || frame[2] != version || frame[3] != kindCancelled {
 		return nil, false
 	}
@@ -175,9 +175,9 @@
 	return frame, nil
 }
 
-// Decode reads a frame. ok is false for kinds and versions that are unknown,
+// DecodeHeartbeat reads a frame. ok is false for kinds and versions that are unknown,
 // which are not an error.
-func Decode(frame []byte) (b Beat, ok bool, err error) {
+func DecodeHeartbeat(frame []byte) (b Heartbeat, ok bool, err error) {
 	if len(frame) < headerSize || frame[0] != magic0 || frame[1] != magic1 || int(binary.BigEndian.Uint32(frame[4:])) != len(frame)-headerSize {
 		return b, false, errMalformed
 	}
@@ -186,13 +186,13 @@
 	}
 	d := decoder{rest: frame[headerSize:]}
 	b.Host = core.Host(d.text())
-	b.Tenure = core.Tenure(d.number())
-	b.Contact = time.Duration(min(d.number(), 1<<32)) * time.Millisecond
-	b.Changes = d.number()
+	b.LeaseID = core.LeaseID(d.number())
+	b.Staleness = time.Duration(min(d.number(), 1<<32)) * time.Millisecond
+	b.WriteRate = d.number()
 	for range d.count(maxBlocks) {
-		h := BlockHint{Number: int(d.number()), Granted: core.Term(d.number()), Placing: d.byte() == 1, Waiting: int(d.number()), Live: int(d.number()), Silent: int(d.number())}
+		h := BlockHint{Number: int(d.number()), Term: core.Term(d.number()), Placing: d.byte() == 1, WaitingTasks: int(d.number()), LiveMachines: int(d.number()), SilentMachines: int(d.number())}
 		for range d.count(maxIdle) {
-			h.Idle = append(h.Idle, core.MachineID(d.text()))
+			h.IdleMachines = append(h.IdleMachines, core.MachineID(d.text()))
 		}
 		b.Blocks = append(b.Blocks, h)
 	}
@@ -206,7 +206,7 @@
 		b.Failing = append(b.Failing, core.JobID(d.text()))
 	}
 	if d.failed || len(d.rest) > 0 {
-		return Beat{}, false, errMalformed
+		return Heartbeat{}, false, errMalformed
 	}
 	return b, true, nil
 }
--- a/internal/placement/defer.go
+++ b/internal/placement/defer.go
@@ -11,7 +11,7 @@
 // Timing is what is known of an array's time: by when it should be complete, for
 // the aim that leaves least time first, and the work that is left.
 type Timing struct {
-	Due  []core.Wall
+	Due  []core.WallTime
 	Work float64 // CPU seconds
 }
 
@@ -27,7 +27,7 @@
 // the order: whoever is deferred takes what the others leave.
 //
 // cpus is what the team can use, and running the work of tasks that already run.
-func Defer(now core.Wall, cpus, running float64, jobs []*Job) {
+func Defer(now core.WallTime, cpus, running float64, jobs []*Job) {
 	left := jobs
 	kept := []*Job{}
 	for stage := 0; len(left) > 0; stage++ {
--- a/internal/placement/dueorder.go
+++ b/internal/placement/dueorder.go
@@ -15,26 +15,26 @@
 // of somebody's time; until then nothing changes. Those that are deferred come after.
 //
 // cpus and running are as for Defer, which has to come first.
-func OrderByDue(now core.Wall, cpus, running float64, jobs []*Job) {
+func OrderByDue(now core.WallTime, cpus, running float64, jobs []*Job) {
 	if !someLate(now, cpus, running, jobs) {
 		return
 	}
 	type place struct {
 		guaranteed bool
-		at         core.Wall
+		at         core.WallTime
 	}
 	byLate := map[int][]*Job{}
 	for _, j := range jobs {
 		byLate[j.MissedDueTimes] = append(byLate[j.MissedDueTimes], j)
 	}
-	for _, late := range core.Keys(byLate) {
+	for _, late := range core.SortedKeys(byLate) {
 		group := byLate[late]
 		slices.SortStableFunc(group, inLine)
 		var places []place
 		for _, j := range group {
 			places = append(places, place{j.Guaranteed, j.turn()})
 		}
-		due := func(j *Job) core.Wall { return j.Timing.Due[min(late, len(j.Timing.Due)-1)] }
+		due := func(j *Job) core.WallTime { return j.Timing.Due[min(late, len(j.Timing.Due)-1)] }
 		slices.SortStableFunc(group, func(a, b *Job) int { return cmp.Compare(due(a), due(b)) })
 		for i, j := range group {
 			j.Guaranteed, j.QueueTime = places[i].guaranteed, places[i].at
@@ -44,7 +44,7 @@
 
 // someLate tells whether serving jobs in the order of their places would take more
 // than half of the time that one of them has.
-func someLate(now core.Wall, cpus, running float64, jobs []*Job) bool {
+func someLate(now core.WallTime, cpus, running float64, jobs []*Job) bool {
 	line := slices.Clone(jobs)
 	slices.SortStableFunc(line, inLine)
 	used := running
--- a/internal/placement/job.go
+++ b/internal/placement/job.go
@@ -29,7 +29,7 @@
 	ID          core.JobID
 	Team        string
 	Rank        int // higher goes first
-	ReadyAt     core.Wall
+	ReadyAt     core.WallTime
 	Need        Resources
 	Gang        bool
 	Tasks       int // all tasks of the job
@@ -65,7 +65,7 @@
 	// Guaranteed: the job fits into what its team is guaranteed.
 	Guaranteed bool
 	// QueueTime is the job's place in line, if it is not that of its age (0: it is).
-	QueueTime core.Wall
+	QueueTime core.WallTime
 }
 
 // Opportunistic tells whether it is idle-time work: of the lowest rank, and nobody has stated a
@@ -73,7 +73,7 @@
 func (j *Job) Opportunistic() bool { return !j.TimeSensitive && j.Rank == Rank(api.RankBestEffort) }
 
 // turn is the job's place in line among those that are equal else.
-func (j *Job) turn() core.Wall { return cmp.Or(j.QueueTime, j.ReadyAt) }
+func (j *Job) turn() core.WallTime { return cmp.Or(j.QueueTime, j.ReadyAt) }
 
 // inLine orders jobs that are equal in rank and timing: work within a guarantee
 // before borrowed, then the oldest first.
@@ -89,7 +89,7 @@
 
 // NewJob describes a job from its specification; what has happened to it so far
 // is for the caller to add.
-func NewJob(id core.JobID, at core.Wall, spec *api.Job) Job {
+func NewJob(id core.JobID, at core.WallTime, spec *api.Job) Job {
 	j := Job{
 		ID: id, Team: spec.Team, Rank: Rank(spec.Rank), ReadyAt: at, Need: Resources{spec.CPUs, spec.GPUs, spec.MemoryGB},
 		Gang: spec.Form == api.FormGang, Tasks: spec.Tasks, Types: spec.Types, OneZone: spec.OneZone, SpreadZones: spec.Scatter,
--- a/internal/sim/host.go
+++ b/internal/sim/host.go
@@ -104,7 +104,7 @@
 
 func (p *process) Now() core.Time { return core.Time(float64(p.h.w.now-p.started) * p.h.rate) }
 
-func (p *process) Wall() core.Wall { return Epoch + core.Wall(p.h.w.now.Milliseconds()) }
+func (p *process) WallNow() core.WallTime { return Epoch + core.WallTime(p.h.w.now.Milliseconds()) }
 
 func (p *process) After(d time.Duration, f func()) {
 	p.h.w.After(time.Duration(float64(max(d, 0))/p.h.rate)+time.Millisecond, func() { p.do(f) })
@@ -131,7 +131,7 @@
 }
 
 func (p *process) broadcast(frame []byte) {
-	_, beat, _ := peer.Decode(frame)
+	_, beat, _ := peer.DecodeHeartbeat(frame)
 	if p.previous && !beat {
 		return
 	}
@@ -139,7 +139,7 @@
 		if o != p.h && !p.dead {
 			p.h.w.carry(party(p.h.name), party(o.name), func() {
 				if q := o.proc; q != nil && !(q.previous && !beat) {
-					q.do(func() { q.node.Peer(frame) })
+					q.do(func() { q.node.HandleFrame(frame) })
 				}
 			})
 		}
@@ -200,7 +200,7 @@
 	p.open++
 	p.mostOpen = max(p.mostOpen, p.open)
 	p.do(func() {
-		answer := func(a node.Answer) {
+		answer := func(a node.Response) {
 			p.open--
 			if p.dead {
 				return
@@ -216,13 +216,13 @@
 		case r.Path == "/ready":
 			p.node.Ready(answer)
 		case r.Path == "/hello":
-			p.node.Report(r.Body, answer)
+			p.node.HandleReport(r.Body, answer)
 		case r.Path == "/work":
 			p.node.Submit(r.Body, answer)
 		case cancel:
 			p.node.Cancel(core.JobID(id), answer)
 		default:
-			p.node.Get(core.JobID(id), answer)
+			p.node.GetJob(core.JobID(id), answer)
 		}
 	})
 }
--- a/internal/sim/world.go
+++ b/internal/sim/world.go
@@ -86,7 +86,7 @@
 }
 
 // Epoch is the time of day at which worlds begin.
-const Epoch = core.Wall(1_700_000_000_000)
+const Epoch = core.WallTime(1_700_000_000_000)
 
 // NewWorld makes a world with cfg.Nodes controllers, not yet started.
 func NewWorld(cfg config.Config, seed uint64, logs io.Writer) *World {
--- a/internal/state/apply.go
+++ b/internal/state/apply.go
@@ -163,7 +163,7 @@
 	entry.Job, entry.Version = record, core.Revision(e.Version)
 	switch {
 	case record.Over():
-		entry.Spec, entry.Done, entry.needs = nil, core.Set{}, nil
+		entry.Spec, entry.Done, entry.needs = nil, core.IndexSet{}, nil
 		m.settled(id, entry, t)
 	case entry.withdrawn:
 		entry.Spec = nil
--- a/internal/state/client.go
+++ b/internal/state/client.go
@@ -205,7 +205,7 @@
 }
 
 // Grant asks for a tenure; 0 means that none was given.
-func (c *Client) Grant(ttl time.Duration, done func(core.Tenure)) {
+func (c *Client) Grant(ttl time.Duration, done func(core.LeaseID)) {
 	body, _ := json.Marshal(api.TenureRequest{TTLMS: int(ttl.Milliseconds())})
 	c.enqueue(urgent, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: "/grants", Body: body, Timeout: txnTimeout}, func(r core.Response) {
@@ -213,20 +213,20 @@
 			if r.Status != 200 || json.Unmarshal(r.Body, &a) != nil {
 				a.Tenure = 0
 			}
-			done(core.Tenure(a.Tenure))
+			done(core.LeaseID(a.Tenure))
 		})
 	}, func() { done(0) })
 }
 
 // Renew prolongs a tenure; done gets the status of the answer, 0 for none.
-func (c *Client) Renew(t core.Tenure, done func(status int)) {
+func (c *Client) Renew(t core.LeaseID, done func(status int)) {
 	c.enqueue(urgent, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "POST", Path: fmt.Sprintf("/grants/%d/renew", t), Timeout: txnTimeout}, func(r core.Response) { done(r.Status) })
 	}, func() { done(0) })
 }
 
 // End ends a tenure at once; keys attached to it are removed.
-func (c *Client) End(t core.Tenure, done func(ok bool)) {
+func (c *Client) End(t core.LeaseID, done func(ok bool)) {
 	c.enqueue(urgent, 0, func() {
 		c.call.Call(core.Request{Addr: c.addr, Method: "DELETE", Path: fmt.Sprintf("/grants/%d", t), Timeout: txnTimeout}, func(r core.Response) {
 			done(r.Status >= 200 && r.Status < 300 || r.Status == 404)
--- a/internal/state/edit.go
+++ b/internal/state/edit.go
@@ -160,7 +160,7 @@
 // All lists an inventory's machines as edited so far.
 func (e *Edit) All(inventory int) (out []Machine) {
 	parts := e.mirror.Inventory(inventory).parts
-	for _, k := range core.Keys(parts) {
+	for _, k := range core.SortedKeys(parts) {
 		if e.drafts[[2]int{inventory, k}] == nil {
 			out = append(out, parts[k].Record.Machines...)
 		}
--- a/internal/state/inventory.go
+++ b/internal/state/inventory.go
@@ -75,7 +75,7 @@
 // All lists the machines in the order of the parts.
 func (s *Inventory) All() iter.Seq[Machine] {
 	return func(yield func(Machine) bool) {
-		for _, k := range core.Keys(s.parts) {
+		for _, k := range core.SortedKeys(s.parts) {
 			for _, m := range s.parts[k].Record.Machines {
 				if !yield(m) {
 					return
--- a/internal/state/mirror.go
+++ b/internal/state/mirror.go
@@ -65,7 +65,7 @@
 type JobEntry struct {
 	Job
 	Version core.Revision
-	Done    core.Set
+	Done    core.IndexSet
 	Urgency Urgency
 
 	needs     []core.JobID // jobs that have to be done first
@@ -225,7 +225,7 @@
 		known[t.Name] = true
 	}
 	out := stated[:len(stated):len(stated)]
-	for _, n := range core.Keys(m.Blocks) {
+	for _, n := range core.SortedKeys(m.Blocks) {
 		for _, name := range m.Blocks[n].Record.Teams {
 			if l, ok := m.Blocks[n].Record.Limits[name]; ok && !known[name] {
 				out = append(out, config.Team{Name: name, CPUsMax: l.CPUs, GPUsMax: l.GPUs})
--- a/internal/state/pipeline.go
+++ b/internal/state/pipeline.go
@@ -19,8 +19,8 @@
 
 // Urgency is what a job takes over from the jobs that need it.
 type Urgency struct {
-	Rank int       // the highest of them
-	Due  core.Wall // by when it has to be done for the first of them to be in time; 0: any
+	Rank int           // the highest of them
+	Due  core.WallTime // by when it has to be done for the first of them to be in time; 0: any
 }
 
 // Over tells whether the job is done or cancelled, by its own record or with a job that
@@ -32,7 +32,7 @@
 
 // ReadyAt tells since when a job may run, and false as long as a job that it needs is not
 // durably done.
-func (m *Mirror) ReadyAt(e *JobEntry) (core.Wall, bool) {
+func (m *Mirror) ReadyAt(e *JobEntry) (core.WallTime, bool) {
 	at := e.At
 	for _, id := range e.needs {
 		before := m.Jobs[id]
@@ -102,7 +102,7 @@
 		if e == nil || e.Over() {
 			continue
 		}
-		e.withdrawn, e.Spec, e.needs, e.Done = true, nil, nil, core.Set{}
+		e.withdrawn, e.Spec, e.needs, e.Done = true, nil, nil, core.IndexSet{}
 		t.job(x)
 		next = append(next, m.dependents[x]...)
 		delete(m.dependents, x)
@@ -121,12 +121,12 @@
 		rank := max(placement.Rank(e.Spec.Rank), e.Urgency.Rank)
 		due := e.Urgency.Due
 		if e.Spec.DeadlineS != nil {
-			if own := e.At + core.Wall(*e.Spec.DeadlineS*1000); due == 0 || own < due {
+			if own := e.At + core.WallTime(*e.Spec.DeadlineS*1000); due == 0 || own < due {
 				due = own
 			}
 		}
 		if due > 0 {
-			due -= core.Wall(e.Spec.EstimateS*1000) + changeOver
+			due -= core.WallTime(e.Spec.EstimateS*1000) + changeOver
 		}
 		for _, before := range e.needs {
 			b := m.Jobs[before]
--- a/internal/state/records.go
+++ b/internal/state/records.go
@@ -53,15 +53,15 @@
 
 // Member is the record of a live controller, attached to its tenure.
 type Member struct {
-	Host   core.Host   `json:"host"`
-	Tenure core.Tenure `json:"tenure"`
+	Host   core.Host    `json:"host"`
+	Tenure core.LeaseID `json:"tenure"`
 }
 
 // Leader is the record of the leader, attached to its tenure.
 type Leader struct {
-	Host   core.Host   `json:"host"`
-	Tenure core.Tenure `json:"tenure"`
-	Term   core.Term   `json:"term"`
+	Host   core.Host    `json:"host"`
+	Tenure core.LeaseID `json:"tenure"`
+	Term   core.Term    `json:"term"`
 }
 
 // TermCounter is the one counter from which all terms are allocated.
@@ -91,7 +91,7 @@
 	// no capacity to count on.
 	Doomed bool `json:"doomed,omitempty"`
 	// Since is when the machine was rented or first seen.
-	Since core.Wall `json:"since,omitempty"`
+	Since core.WallTime `json:"since,omitempty"`
 	// Seen is the term under which its last block commanded it (pool only).
 	Seen core.Term `json:"seen,omitempty"`
 	// Term is allocated when the machine is assigned to a block; the holder commands
@@ -115,9 +115,9 @@
 
 // Block is the record of a block; its machines are in the inventory of its number.
 type Block struct {
-	Number int         `json:"number"`
-	Holder core.Host   `json:"holder"`
-	Tenure core.Tenure `json:"tenure"`
+	Number int          `json:"number"`
+	Holder core.Host    `json:"holder"`
+	Tenure core.LeaseID `json:"tenure"`
 	// Term is that of the grant.
 	Term  core.Term `json:"term"`
 	Teams []string  `json:"teams"`
@@ -150,20 +150,20 @@
 // Job is the record of a job. When the job is over, Spec is dropped; what a
 // task uses stays, since tasks of a cancelled job count until they are gone.
 type Job struct {
-	Phase JobPhase  `json:"phase"`
-	Tasks int       `json:"tasks"`
-	At    core.Wall `json:"at,omitempty"`
+	Phase JobPhase      `json:"phase"`
+	Tasks int           `json:"tasks"`
+	At    core.WallTime `json:"at,omitempty"`
 	// Ended is when the job was found to be done, for the jobs that depend on it.
-	Ended    core.Wall `json:"ended,omitempty"`
-	Team     string    `json:"team"`
-	CPUs     float64   `json:"cpus"`
-	GPUs     float64   `json:"gpus,omitempty"`
-	MemoryGB float64   `json:"memory,omitempty"`
-	Spec     *api.Job  `json:"spec,omitempty"`
+	Ended    core.WallTime `json:"ended,omitempty"`
+	Team     string        `json:"team"`
+	CPUs     float64       `json:"cpus"`
+	GPUs     float64       `json:"gpus,omitempty"`
+	MemoryGB float64       `json:"memory,omitempty"`
+	Spec     *api.Job      `json:"spec,omitempty"`
 }
 
 // End returns the record of the job once it is over; at is when it was done.
-func (j Job) End(p JobPhase, at core.Wall) Job {
+func (j Job) End(p JobPhase, at core.WallTime) Job {
 	j.Phase, j.Spec, j.Ended = p, nil, at
 	return j
 }
@@ -173,7 +173,7 @@
 
 // Round is a record of tasks done, by job.
 type Round struct {
-	Done map[core.JobID]core.Set `json:"done"`
+	Done map[core.JobID]core.IndexSet `json:"done"`
 }
 
 func blockOfRound(key string) int {
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -31,7 +31,7 @@
 
 // Fence shows a term to a worker and brings its report; nil if none came. The
 // term has been taken only if the report carries it.
-func (c *Client) Fence(addr string, term core.Term, season core.Season, done func(*api.Report)) {
+func (c *Client) Fence(addr string, term core.Term, season core.Session, done func(*api.Report)) {
 	body, _ := json.Marshal(api.Direct{Term: uint64(term), Season: uint64(season), Orders: []api.Order{}})
 	c.call.Call(core.Request{Addr: addr, Method: "POST", Path: "/do", Body: body, Timeout: timeout}, func(r core.Response) { done(report(r)) })
 }
