--- a/internal/cloud/client.go
+++ b/internal/cloud/client.go
@@ -1,4 +1,4 @@
-// Package cloud rents, lists and returns machines.
+// Package cloud is the client of the cloud: it rents, lists and returns machines.
 package cloud
 
 import (
@@ -11,22 +11,22 @@
 	"lichenstair/internal/core"
 )
 
-// Client calls the cloud, no more often than its limit allows.
+// Client sends requests to the cloud within its rate limit.
 type Client struct {
-	loop core.Loop
-	call core.Caller
-	addr string
-	gap  time.Duration
-	next core.Time
+	loop     core.Loop
+	call     core.Caller
+	addr     string
+	interval time.Duration
+	nextSend core.Time
 }
 
-// NewClient makes a client. Only the leader calls the cloud, but there may be
-// two for a moment, so it keeps well below the limit.
+// NewClient returns a client. Only the leader calls the cloud, but two leaders may exist for a
+// short time, so the client uses 80 % of the limit.
 func NewClient(loop core.Loop, call core.Caller, addr string, lim config.CloudLimits) *Client {
-	return &Client{loop: loop, call: call, addr: addr, gap: time.Duration(1.25 / lim.RPS * float64(time.Second))}
+	return &Client{loop: loop, call: call, addr: addr, interval: time.Duration(1.25 / lim.RPS * float64(time.Second))}
 }
 
-const timeout = 5 * time.Second
+const requestTimeout = 5 * time.Second
 
 func (c *Client) send(method, path string, body any, done func(core.Response)) {
 	var raw []byte
@@ -34,18 +34,18 @@
 		raw, _ = json.Marshal(body)
 	}
 	now := c.loop.Now()
-	at := max(now, c.next)
-	if at.Sub(now) > 10*c.gap {
+	at := max(now, c.nextSend)
+	if at.Sub(now) > 10*c.interval {
 		done(core.Response{Status: 429})
 		return
 	}
-	c.next = at.Add(c.gap)
+	c.nextSend = at.Add(c.interval)
 	c.loop.After(at.Sub(now), func() {
-		c.call.Call(core.Request{Addr: c.addr, Method: method, Path: path, Body: raw, Timeout: timeout}, done)
+		c.call.Call(core.Request{Addr: c.addr, Method: method, Path: path, Body: raw, Timeout: requestTimeout}, done)
 	})
 }
 
-// Types asks for the types of machines.
+// Types requests the list of machine types.
 func (c *Client) Types(done func([]api.MachineType, bool)) {
 	c.send("GET", "/flavors", nil, func(r core.Response) {
 		var a api.MachineTypes
@@ -54,22 +54,21 @@
 	})
 }
 
-// RentOutcome says what came of a rental.
+// RentOutcome is the result of a rental request as far as the client knows it.
 type RentOutcome int
 
 const (
-	// Rented: the machines named were rented.
+	// Rented: the named machines were rented.
 	Rented RentOutcome = iota
-	// NoCapacity: there are none of the kind.
+	// NoCapacity: the cloud has no machine of the type.
 	NoCapacity
-	// Refused: the request was not taken.
+	// Refused: the cloud did not execute the request.
 	Refused
-	// Unknown: machines may have been rented, or may still be.
+	// Unknown: machines may have been rented, or may still be rented later.
 	Unknown
 )
 
-// Rent asks for machines. The request's name must never have been used before
-// for anything else.
+// Rent requests machines. The request's id must never have been used for another request.
 func (c *Client) Rent(r api.Rental, done func([]string, RentOutcome)) {
 	c.send("POST", "/hosts", r, func(res core.Response) {
 		var a api.MachineIDs
@@ -87,15 +86,15 @@
 	})
 }
 
-// Return gives machines back; ok means that they and all on them are gone.
+// Return returns machines to the cloud; ok means that they and everything on them are gone.
 func (c *Client) Return(ids []string, done func(ok bool)) {
 	c.send("POST", "/hosts/return", api.MachineIDs{Machines: ids}, func(r core.Response) { done(r.Status == 200) })
 }
 
-// List asks for all machines.
-func (c *Client) List(done func([]api.ListedMachine, bool)) { c.page("", nil, done) }
+// List requests all machines, page by page.
+func (c *Client) List(done func([]api.ListedMachine, bool)) { c.listPage("", nil, done) }
 
-func (c *Client) page(from string, got []api.ListedMachine, done func([]api.ListedMachine, bool)) {
+func (c *Client) listPage(from string, machines []api.ListedMachine, done func([]api.ListedMachine, bool)) {
 	path := fmt.Sprintf("/hosts?most=%d", 500)
 	if from != "" {
 		path = fmt.Sprintf("/hosts?from=%s&most=%d", from, 500)
@@ -106,11 +105,11 @@
 			done(nil, false)
 			return
 		}
-		got = append(got, a.Machines...)
+		machines = append(machines, a.Machines...)
 		if a.More && len(a.Machines) > 0 {
-			c.page(a.Machines[len(a.Machines)-1].ID, got, done)
+			c.listPage(a.Machines[len(a.Machines)-1].ID, machines, done)
 			return
 		}
-		done(got, true)
+		done(machines, true)
 	})
 }
--- a/internal/frontend/server.go
+++ b/internal/frontend/server.go
@@ -17,31 +17,31 @@
 	"lichenstair/internal/node"
 )
 
-// Server is the HTTP side of a node.
+// Server is the HTTP server of a node.
 type Server struct {
-	app  *fiber.App
-	loop *core.EventLoop
-	node *node.Node
-	log  *slog.Logger
-	seat chan struct{}
-	most int // connections
+	app      *fiber.App
+	loop     *core.EventLoop
+	node     *node.Node
+	log      *slog.Logger
+	slots    chan struct{}
+	maxConns int // maximum number of connections
 }
 
 const (
-	// How long a caller waits, by the protocol, less what it takes to reach it. What
-	// has waited longer in the queue, behind others or while the process stood still,
-	// is dropped instead of being worked off for nobody.
-	answerWait  = 4500 * time.Millisecond
-	pollWait    = 1900 * time.Millisecond
-	readTimeout = 10 * time.Second
-	// An idle connection holds a socket that a worker may need; a worker reports
-	// every few seconds, and a user polls as often.
+	// The time that the protocol lets a caller wait, less the transmission time. A request that
+	// waited longer in the queue, or while the process was suspended, is dropped, since its caller
+	// is gone.
+	requestTimeout = 4500 * time.Millisecond
+	pollTimeout    = 1900 * time.Millisecond
+	readTimeout    = 10 * time.Second
+	// An idle connection holds a socket that a worker may need. Workers report every few seconds,
+	// and users poll as often.
 	idleTimeout = 20 * time.Second
 )
 
-// New makes a server that keeps at most conns connections.
+// New returns a server with at most conns connections.
 func New(loop *core.EventLoop, n *node.Node, log *slog.Logger, conns int) *Server {
-	s := &Server{loop: loop, node: n, log: log, seat: make(chan struct{}, 256), most: conns}
+	s := &Server{loop: loop, node: n, log: log, slots: make(chan struct{}, 256), maxConns: conns}
 	s.app = fiber.New(fiber.Config{
 		DisableStartupMessage: true,
 		BodyLimit:             api.MaxBody,
@@ -51,22 +51,22 @@
 		IdleTimeout:           idleTimeout,
 		ReadBufferSize:        8 << 10,
 		DisableDefaultDate:    true,
-		ErrorHandler:          failed,
+		ErrorHandler:          errorHandler,
 	})
-	s.app.Get("/ready", s.handle(answerWait, false, func(c *fiber.Ctx) func(node.Reply) { return n.Ready }))
-	s.app.Post("/hello", s.handle(answerWait, true, func(c *fiber.Ctx) func(node.Reply) {
+	s.app.Get("/ready", s.handle(requestTimeout, false, func(c *fiber.Ctx) func(node.Reply) { return n.Ready }))
+	s.app.Post("/hello", s.handle(requestTimeout, true, func(c *fiber.Ctx) func(node.Reply) {
 		body := append([]byte{}, c.Body()...)
 		return func(r node.Reply) { n.HandleReport(body, r) }
 	}))
-	s.app.Post("/work", s.handle(answerWait, false, func(c *fiber.Ctx) func(node.Reply) {
+	s.app.Post("/work", s.handle(requestTimeout, false, func(c *fiber.Ctx) func(node.Reply) {
 		body := append([]byte{}, c.Body()...)
 		return func(r node.Reply) { n.Submit(body, r) }
 	}))
-	s.app.Get("/work/:id", s.handle(pollWait, false, func(c *fiber.Ctx) func(node.Reply) {
+	s.app.Get("/work/:id", s.handle(pollTimeout, false, func(c *fiber.Ctx) func(node.Reply) {
 		id := core.JobID(append([]byte{}, c.Params("id")...))
 		return func(r node.Reply) { n.GetJob(id, r) }
 	}))
-	s.app.Post("/work/:id/cancel", s.handle(answerWait, false, func(c *fiber.Ctx) func(node.Reply) {
+	s.app.Post("/work/:id/cancel", s.handle(requestTimeout, false, func(c *fiber.Ctx) func(node.Reply) {
 		id := core.JobID(append([]byte{}, c.Params("id")...))
 		return func(r node.Reply) { n.Cancel(id, r) }
 	}))
@@ -74,7 +74,7 @@
 	return s
 }
 
-// metrics answers with the controller's metrics. It needs no turn of the loop.
+// metrics serves the controller's metrics. It does not run on the event loop.
 func (s *Server) metrics(c *fiber.Ctx) error {
 	text, err := s.node.Metrics().Text()
 	if err != nil {
@@ -84,9 +84,9 @@
 	return c.Send(text)
 }
 
-// failed answers what never reached a handler. A body that is too large or
-// cannot be read is the sender's mistake.
-func failed(c *fiber.Ctx, err error) error {
+// errorHandler answers requests that reached no handler. A body that is too large or cannot be read
+// is the client's error.
+func errorHandler(c *fiber.Ctx, err error) error {
 	status := fiber.StatusInternalServerError
 	if e, ok := err.(*fiber.Error); ok {
 		status = e.Code
@@ -97,26 +97,27 @@
 	return c.Status(status).JSON(api.Error{Error: err.Error()})
 }
 
-// handle runs a request on the node's loop; reports go before all else.
+// handle runs a request on the node's event loop. Urgent requests (reports) take precedence and
+// need no slot.
 func (s *Server) handle(wait time.Duration, urgent bool, prepare func(*fiber.Ctx) func(node.Reply)) fiber.Handler {
 	return func(c *fiber.Ctx) error {
-		came := s.loop.Now()
+		received := s.loop.Now()
 		if !urgent {
-			if s.crowded() {
-				// Users' idle connections must not keep workers out.
+			if s.nearConnLimit() {
+				// Idle connections of users must not keep workers from connecting.
 				c.Context().SetConnectionClose()
 			}
 			select {
-			case s.seat <- struct{}{}:
-				defer func() { <-s.seat }()
+			case s.slots <- struct{}{}:
+				defer func() { <-s.slots }()
 			default:
-				return busy(c)
+				return respondOverloaded(c)
 			}
 		}
 		work := prepare(c)
 		done := make(chan node.Response, 1)
 		run := func() {
-			if s.loop.Now().Sub(came) > wait {
+			if s.loop.Now().Sub(received) > wait {
 				done <- overloaded
 				return
 			}
@@ -127,32 +128,32 @@
 			post = s.loop.PostReport
 		}
 		if !post(run) {
-			return busy(c)
+			return respondOverloaded(c)
 		}
 		timer := time.NewTimer(wait)
 		defer timer.Stop()
 		select {
 		case a := <-done:
 			if a.ExpiresAt > 0 && s.loop.Now() > a.ExpiresAt {
-				return busy(c)
+				return respondOverloaded(c)
 			}
-			return write(c, a)
+			return writeResponse(c, a)
 		case <-timer.C:
-			return busy(c)
+			return respondOverloaded(c)
 		}
 	}
 }
 
-// crowded tells whether most connections are taken.
-func (s *Server) crowded() bool {
-	return int(s.app.Server().GetOpenConnectionsCount()) > s.most*7/10
+// nearConnLimit reports whether more than 70 % of the connections are in use.
+func (s *Server) nearConnLimit() bool {
+	return int(s.app.Server().GetOpenConnectionsCount()) > s.maxConns*7/10
 }
 
 var overloaded = node.Response{Status: 503, Body: api.Error{Error: "overloaded"}, RetryAfter: time.Second}
 
-func busy(c *fiber.Ctx) error { return write(c, overloaded) }
+func respondOverloaded(c *fiber.Ctx) error { return writeResponse(c, overloaded) }
 
-func write(c *fiber.Ctx, a node.Response) error {
+func writeResponse(c *fiber.Ctx, a node.Response) error {
 	if a.RetryAfter > 0 {
 		c.Set(fiber.HeaderRetryAfter, strconv.Itoa(int(math.Ceil(a.RetryAfter.Seconds()))))
 	}
@@ -164,5 +165,5 @@
 	return c.Status(a.Status).Send(raw)
 }
 
-// Serve answers requests that come to a listener.
+// Serve serves requests on a listener.
 func (s *Server) Serve(ln net.Listener) error { return s.app.Listener(ln) }
--- a/internal/httpcall/httpcall.go
+++ b/internal/httpcall/httpcall.go
@@ -1,5 +1,4 @@
-// Package httpcall sends a node's requests to the state service, the cloud and
-// the workers over HTTP.
+// Package httpcall sends a node's HTTP requests to the state service, the cloud and the workers.
 package httpcall
 
 import (
@@ -12,77 +11,78 @@
 	"lichenstair/internal/core"
 )
 
-// Caller sends requests and hands their answers to the loop. Connections to the
-// services, of which there are few, are kept and have seats of their own; those
-// to workers, of which there may be hundreds, are closed after the answer.
+// Caller sends requests and passes their responses to the event loop. Connections to the few
+// services are persistent and have request slots of their own; connections to workers, of which
+// there may be hundreds, are closed after the response.
 type Caller struct {
-	loop     *core.EventLoop
-	services map[string]*line
-	workers  chan struct{}
+	loop        *core.EventLoop
+	services    map[string]*service
+	workerSlots chan struct{}
 }
 
-// line is what leads to one service.
-type line struct {
-	seat   chan struct{}
+// service holds the request slots and the persistent connections of one service.
+type service struct {
+	slots  chan struct{}
 	client *fasthttp.HostClient
 }
 
 const (
-	maxAnswer   = 16 << 20
-	connectWait = 1500 * time.Millisecond
+	maxResponseBytes = 16 << 20
+	connectTimeout   = 1500 * time.Millisecond
 )
 
-// New makes a caller with at most workers requests to workers in flight. Those
-// to the services do not count there: questions to machines that are gone hang
-// until their time is over, and hundreds of them must not keep a renewal waiting.
+// New returns a caller with at most workers concurrent requests to workers. Requests to the
+// services do not count: requests to machines that are gone hang until their time-out, and hundreds
+// of them must not delay a lease renewal.
 func New(loop *core.EventLoop, workers int, services ...string) *Caller {
-	c := &Caller{loop: loop, workers: make(chan struct{}, workers), services: map[string]*line{}}
+	c := &Caller{loop: loop, workerSlots: make(chan struct{}, workers), services: map[string]*service{}}
 	for _, addr := range services {
-		c.services[addr] = &line{make(chan struct{}, config.ConnsPerService), client(addr, config.ConnsPerService)}
+		c.services[addr] = &service{make(chan struct{}, config.ConnsPerService), newHostClient(addr, config.ConnsPerService)}
 	}
 	return c
 }
 
-func client(addr string, most int) *fasthttp.HostClient {
+func newHostClient(addr string, maxConns int) *fasthttp.HostClient {
 	return &fasthttp.HostClient{
 		Addr:     addr,
-		MaxConns: most,
-		// A request is never sent twice behind the caller's back.
+		MaxConns: maxConns,
+		// The client library must not repeat a request, since a repetition could be executed twice.
 		MaxIdemponentCallAttempts:     1,
 		MaxIdleConnDuration:           20 * time.Second,
-		MaxResponseBodySize:           maxAnswer,
+		MaxResponseBodySize:           maxResponseBytes,
 		NoDefaultUserAgentHeader:      true,
 		DisablePathNormalizing:        true,
 		DisableHeaderNamesNormalizing: true,
 		Dial: func(addr string) (net.Conn, error) {
-			return net.DialTimeout("tcp", addr, connectWait)
+			return net.DialTimeout("tcp", addr, connectTimeout)
 		},
 	}
 }
 
-// Call sends a request; done runs on the loop.
+// Call sends a request; done runs on the event loop. Without a free slot it gets an empty response
+// after 1 ms.
 func (c *Caller) Call(r core.Request, done func(core.Response)) {
-	to := c.services[r.Addr]
-	seat := c.workers
-	if to != nil {
-		seat = to.seat
+	svc := c.services[r.Addr]
+	slots := c.workerSlots
+	if svc != nil {
+		slots = svc.slots
 	}
 	select {
-	case seat <- struct{}{}:
+	case slots <- struct{}{}:
 	default:
 		c.loop.After(time.Millisecond, func() { done(core.Response{}) })
 		return
 	}
 	go func() {
-		res := do(r, to)
-		<-seat
+		res := do(r, svc)
+		<-slots
 		c.loop.Post(func() { done(res) })
 	}()
 }
 
-// do sends a request over a kept line or, if there is none, over a connection of
-// its own that ends with the answer.
-func do(r core.Request, to *line) core.Response {
+// do sends a request over a persistent connection to a service or, if svc is nil, over a new
+// connection that is closed after the response.
+func do(r core.Request, svc *service) core.Response {
 	req, res := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(res)
@@ -93,10 +93,10 @@
 		req.SetBody(r.Body)
 	}
 	var h *fasthttp.HostClient
-	if to != nil {
-		h = to.client
+	if svc != nil {
+		h = svc.client
 	} else {
-		h = client(r.Addr, 1)
+		h = newHostClient(r.Addr, 1)
 		req.SetConnectionClose()
 	}
 	if err := h.DoTimeout(req, res, r.Timeout); err != nil {
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,4 +1,4 @@
-// Package metrics counts what a controller does, in the text format that Prometheus reads.
+// Package metrics holds a controller's metrics and encodes them in the Prometheus text format.
 package metrics
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/prometheus/common/expfmt"
 )
 
-// ContentType is the media type of what Text returns.
+// ContentType is the media type of the output of Text.
 const ContentType = "text/plain; version=0.0.4; charset=utf-8"
 
 const namespace = "lichenstair"
@@ -17,11 +17,12 @@
 type Metrics struct {
 	registry *prometheus.Registry
 
-	// WorkerMessages counts messages of workers by source (report, answer) and result.
+	// WorkerMessages counts worker messages by source (report, answer) and result.
 	WorkerMessages *prometheus.CounterVec
-	// Discovered counts attempts that a holder learnt of from a message, by source.
+	// Discovered counts attempts that a block holder first learnt of from a worker message, by
+	// source.
 	Discovered *prometheus.CounterVec
-	// Duplicates counts attempts learnt of while another one of the task was booked.
+	// Duplicates counts attempts learnt of while another attempt of the task was already recorded.
 	Duplicates prometheus.Counter
 	// Starts counts start commands sent to workers.
 	Starts prometheus.Counter
@@ -36,25 +37,25 @@
 	BlockTerm *prometheus.GaugeVec
 	// StateRevision is the revision of the state service that the controller has read.
 	StateRevision prometheus.Gauge
-	// ProofAge is how long ago, in seconds, what was read was last proven complete.
+	// ProofAge is the time, in seconds, since the local replica was last proven complete.
 	ProofAge prometheus.Gauge
 }
 
-// New makes a set of metrics, all 0.
+// New returns a set of metrics, all zero.
 func New() *Metrics {
 	m := &Metrics{
 		registry:       prometheus.NewRegistry(),
-		WorkerMessages: counters("worker_messages_total", "Messages of workers, by source and result.", "source", "result"),
-		Discovered:     counters("attempts_learnt_total", "Attempts that a holder learnt of from a message, by source.", "source"),
-		Duplicates:     counter("attempts_duplicate_total", "Attempts learnt of while another one of the task was booked."),
+		WorkerMessages: counters("worker_messages_total", "Worker messages, by source and result.", "source", "result"),
+		Discovered:     counters("attempts_learnt_total", "Attempts that a block holder first learnt of from a worker message, by source.", "source"),
+		Duplicates:     counter("attempts_duplicate_total", "Attempts learnt of while another attempt of the task was already recorded."),
 		Starts:         counter("starts_total", "Start commands sent to workers."),
 		Stops:          counters("stops_total", "Attempts that were told to stop, by reason.", "reason"),
 		Releases:       counters("releases_total", "Attempts proven to be off their machines, by reason.", "reason"),
 
-		LeaderTerm:    gauge("leader_term", "Term under which the controller leads; 0: it does not."),
+		LeaderTerm:    gauge("leader_term", "Term under which the controller leads, 0 if it does not."),
 		BlockTerm:     prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "block_term", Help: "Term under which the controller holds a block."}, []string{"block"}),
 		StateRevision: gauge("state_revision", "Revision of the state service that the controller has read."),
-		ProofAge:      gauge("state_proof_age_seconds", "How long ago what was read was last proven complete."),
+		ProofAge:      gauge("state_proof_age_seconds", "Time since the local replica was last proven complete."),
 	}
 	m.registry.MustRegister(m.WorkerMessages, m.Discovered, m.Duplicates, m.Starts, m.Stops, m.Releases, m.LeaderTerm, m.BlockTerm, m.StateRevision, m.ProofAge)
 	return m
@@ -72,7 +73,7 @@
 	return prometheus.NewGauge(prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help})
 }
 
-// Text returns all metrics in Prometheus's text format.
+// Text returns all metrics in the Prometheus text format.
 func (m *Metrics) Text() ([]byte, error) {
 	families, err := m.registry.Gather()
 	if err != nil {
--- a/internal/worker/client.go
+++ b/internal/worker/client.go
@@ -1,5 +1,5 @@
-// Package worker talks to workers at their own addresses. Starts never go this
-// way: a direct command can be executed minutes late.
+// Package worker sends requests to workers at their own addresses. Start commands are never sent
+// this way: a direct command may be executed minutes later.
 package worker
 
 import (
@@ -10,15 +10,15 @@
 	"lichenstair/internal/core"
 )
 
-// Client asks workers for their reports.
+// Client requests reports from workers.
 type Client struct{ call core.Caller }
 
-// NewClient makes a client.
+// NewClient returns a client.
 func NewClient(call core.Caller) *Client { return &Client{call} }
 
-const timeout = 3 * time.Second
+const requestTimeout = 3 * time.Second
 
-func report(r core.Response) *api.Report {
+func decodeReport(r core.Response) *api.Report {
 	if r.Status != 200 && r.Status != 409 {
 		return nil
 	}
@@ -29,43 +29,44 @@
 	return &rep
 }
 
-// Fence shows a term to a worker and brings its report; nil if none came. The
-// term has been taken only if the report carries it.
-func (c *Client) Fence(addr string, term core.Term, season core.Session, done func(*api.Report)) {
-	body, _ := json.Marshal(api.CommandRequest{Term: uint64(term), Session: uint64(season), Commands: []api.Command{}})
-	c.call.Call(core.Request{Addr: addr, Method: "POST", Path: "/do", Body: body, Timeout: timeout}, func(r core.Response) { done(report(r)) })
+// Fence sends a term to a worker as a fencing token and returns its report, nil if none came. The
+// worker has accepted the term only if the report carries it.
+func (c *Client) Fence(addr string, term core.Term, session core.Session, done func(*api.Report)) {
+	body, _ := json.Marshal(api.CommandRequest{Term: uint64(term), Session: uint64(session), Commands: []api.Command{}})
+	c.call.Call(core.Request{Addr: addr, Method: "POST", Path: "/do", Body: body, Timeout: requestTimeout}, func(r core.Response) { done(decodeReport(r)) })
 }
 
-// Inspect brings a worker's report; nil if none came.
+// Inspect requests a worker's report; done gets nil if none came.
 func (c *Client) Inspect(addr string, done func(*api.Report)) {
-	c.call.Call(core.Request{Addr: addr, Method: "GET", Path: "/inspect", Timeout: timeout}, func(r core.Response) { done(report(r)) })
+	c.call.Call(core.Request{Addr: addr, Method: "GET", Path: "/inspect", Timeout: requestTimeout}, func(r core.Response) { done(decodeReport(r)) })
 }
 
-// Prober asks machines whether they are there and hear us: a report may be a late
-// copy, or come from a machine that nothing reaches. Each is asked once at a time,
-// and no more than most at once.
+// Prober checks that the sender of a report is reachable: a report may be a delayed copy, or come
+// from a machine that no request reaches. At most one probe for each machine and maxInFlight in all
+// run at a time.
 type Prober struct {
-	client *Client
-	most   int
-	open   map[core.MachineID]bool
+	client      *Client
+	maxInFlight int
+	inFlight    map[core.MachineID]bool
 }
 
-// NewProber makes a prober.
-func NewProber(c *Client, most int) *Prober {
-	return &Prober{c, most, map[core.MachineID]bool{}}
+// NewProber returns a prober with at most maxInFlight probes at a time.
+func NewProber(c *Client, maxInFlight int) *Prober {
+	return &Prober{c, maxInFlight, map[core.MachineID]bool{}}
 }
 
-// Probe asks the machine that sent a report; there runs only if it answers.
-func (p *Prober) Probe(rep *api.Report, there func()) {
+// Probe sends a request to the machine that sent a report; reachable is called only if that machine
+// responds.
+func (p *Prober) Probe(rep *api.Report, reachable func()) {
 	id := core.MachineID(rep.Machine)
-	if p.open[id] || len(p.open) >= p.most {
+	if p.inFlight[id] || len(p.inFlight) >= p.maxInFlight {
 		return
 	}
-	p.open[id] = true
+	p.inFlight[id] = true
 	p.client.Inspect(rep.Addr, func(now *api.Report) {
-		delete(p.open, id)
+		delete(p.inFlight, id)
 		if now != nil && now.Machine == rep.Machine {
-			there()
+			reachable()
 		}
 	})
 }
